--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -12,9 +12,33 @@
 // TaskRow is how a task is kept, for tests of the format.
 type TaskRow = taskRow
 
+// The rows, for tests of the format.
+type (
+	SpecRow     = specRow
+	StateRow    = stateRow
+	RoundCount  = roundCount
+	BoundsRow   = boundsRow
+	LearntRow   = learntRow
+	ReferralRow = referralRow
+)
+
+// EncodeRow is encode for tests of the format.
+var EncodeRow = encode
+
 // TaskAssigned is the state of a task that was placed.
 const TaskAssigned = taskAssigned
 
+// TaskStates returns the states of a task; that of one which a cell runs is the last.
+func TaskStates(cell cottonlanding.CellNumber) []any {
+	return []any{taskWaiting, taskAssigned, taskDone, taskElsewhere, delegatedTo(cell)}
+}
+
+// GuestRowKeys returns the keys of a guest's rows.
+func GuestRowKeys(p cottonlanding.Partition, id cottonlanding.WorkflowID) (spec, state cottonlanding.Key) {
+	guest := &job{Workflow: cottonlanding.Workflow{ID: id}, guestOf: new(cottonlanding.CellNumber)}
+	return (&Cell{setup: Setup{Partition: p}}).rowKeys(guest)
+}
+
 // Fingerprint describes what the cell believes of its workers and tasks, without instants: two
 // cells with the same one go on alike.
 func (c *Cell) Fingerprint(now cottonlanding.Millis) string {
--- /dev/null
+++ b/internal/workflow/planner/golden_test.go
@@ -0,0 +1,47 @@
+package planner_test
+
+import (
+	"testing"
+
+	"github.com/cottonlanding/cottonlanding"
+	"github.com/cottonlanding/cottonlanding/internal/golden/comparer"
+	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
+)
+
+// TestGoldenRows guards against a row that the next owner, or one of another version, reads as something else.
+func TestGoldenRows(t *testing.T) {
+	comparer.JSON(t, planner.EncodeRow, map[string]any{
+		"SpecRow":     planner.SpecRow{},
+		"StateRow":    planner.StateRow{},
+		"TaskRow":     planner.TaskRow{},
+		"RoundCount":  planner.RoundCount{},
+		"BoundsRow":   planner.BoundsRow{},
+		"LearntRow":   planner.LearntRow{},
+		"ReferralRow": planner.ReferralRow{},
+	})
+}
+
+// TestGoldenMessages guards against a message between cells that a process of another version reads as something else.
+func TestGoldenMessages(t *testing.T) {
+	comparer.JSON(t, planner.EncodeRow, map[string]any{
+		"DelegationQuestion": planner.DelegationQuestion{},
+		"DelegationAnswer":   planner.DelegationAnswer{},
+		"DelegatedWorkflow":  planner.DelegatedWorkflow{},
+		"DelegatedTask":      planner.DelegatedTask{},
+		"GuestReport":        planner.GuestReport{},
+		"Report":             planner.Report{},
+	})
+}
+
+// TestGoldenNames guards against rows that aren't found any more, and against values that nobody else knows.
+func TestGoldenNames(t *testing.T) {
+	guestSpec, guestState := planner.GuestRowKeys("P", "w")
+	for name, lines := range map[string][]any{
+		"Keys": {planner.SpecKey("P", "w"), planner.StateKey("P", "w"), planner.ReferralKey("P", "w"), planner.GuestsKey("P"),
+			guestSpec, guestState, planner.LearntKey("P"), planner.LeaseBoundsKey("P")},
+		"TaskStates": planner.TaskStates(cottonlanding.CellNumber(7)),
+		"Verbs":      {planner.VerbStart, planner.VerbStop, planner.VerbPace},
+	} {
+		t.Run(name, func(t *testing.T) { comparer.Lines(t, name, lines...) })
+	}
+}
