--- /dev/null
+++ b/internal/coordination/observer/golden_test.go
@@ -0,0 +1,22 @@
+package observer_test
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/cottonlanding/cottonlanding/internal/coordination/observer"
+	"github.com/cottonlanding/cottonlanding/internal/golden/comparer"
+)
+
+// TestGoldenOwnership guards against hosts of two versions that don't see each other's ownership of a cell.
+func TestGoldenOwnership(t *testing.T) {
+	encode := func(value any) []byte {
+		data, err := json.Marshal(value)
+		require.NoError(t, err)
+		return data
+	}
+	comparer.JSON(t, encode, map[string]any{"Ownership": observer.Ownership{}})
+	comparer.Lines(t, "Keys", observer.OwnerKey("a/1"))
+}
--- /dev/null
+++ b/internal/request/claimer/export_test.go
@@ -0,0 +1,4 @@
+package claimer
+
+// EncodeRow is encode for tests of the format.
+var EncodeRow = encode
