--- /dev/null
+++ b/internal/golden/transcriber/transcriber.go
@@ -0,0 +1,144 @@
+// Package transcriber writes down what processes send and compares texts with golden files, for
+// tests.
+package transcriber
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/cottonlanding/cottonlanding"
+)
+
+// changing are the headers that HTTP itself sets.
+var changing = []string{"Accept-Encoding", "Content-Length", "Date", "User-Agent"}
+
+// Compare requires a text to be exactly that of a golden file of the test's package.
+func Compare(t testing.TB, name, got string) {
+	t.Helper()
+	require.Equal(t, string(Golden(t, name)), got, "differs from testdata/golden/%s", name)
+}
+
+// Golden returns a golden file of the test's package.
+func Golden(t testing.TB, name string) []byte {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	require.NoError(t, err)
+	return want
+}
+
+// Indent returns JSON with its keys in order, one a line, and any other text as it is.
+func Indent(body []byte) string {
+	var out bytes.Buffer
+	if err := json.Indent(&out, body, "", "  "); err != nil {
+		return string(body)
+	}
+	return out.String()
+}
+
+// Value returns how a value is encoded as JSON.
+func Value(t testing.TB, value any) string {
+	t.Helper()
+	data, err := json.Marshal(value)
+	require.NoError(t, err)
+	return Indent(data) + "\n"
+}
+
+// Lines returns a line for each text.
+func Lines(texts []string) string { return strings.Join(texts, "\n") + "\n" }
+
+// Gauges is a function for gauges and the list of what it was given.
+type Gauges []string
+
+// Set notes a gauge.
+func (g *Gauges) Set(name string, value float64) { *g = append(*g, fmt.Sprintf("%s %v", name, value)) }
+
+// Sorted returns the gauges by name, one a line.
+func (g *Gauges) Sorted() string { return Lines(slices.Sorted(slices.Values(*g))) }
+
+// Reply is how a Stand answers.
+type Reply struct {
+	Status int
+	Header map[string]string
+	Body   string
+}
+
+// Stand stands in for another process: it writes down calls and gives the replies of a test.
+type Stand struct {
+	server *httptest.Server
+
+	mu    sync.Mutex
+	calls strings.Builder
+	reply Reply
+}
+
+// New returns a stand that answers 200 with an empty body.
+func New(t testing.TB) *Stand {
+	s := &Stand{reply: Reply{Status: http.StatusOK}}
+	s.server = httptest.NewServer(s)
+	t.Cleanup(s.server.Close)
+	return s
+}
+
+// Address returns where the stand listens.
+func (s *Stand) Address() cottonlanding.Address {
+	return cottonlanding.Address(strings.TrimPrefix(s.server.URL, "http://"))
+}
+
+// Answer sets how calls are answered from now on.
+func (s *Stand) Answer(reply Reply) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reply = reply
+}
+
+// Calls returns the calls so far: method and path, headers, body.
+func (s *Stand) Calls() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls.String()
+}
+
+// ServeHTTP implements http.Handler.
+func (s *Stand) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		panic(http.ErrAbortHandler) // the connection broke in the middle of the call
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fmt.Fprintf(&s.calls, "%s %s\n%s%s\n\n", r.Method, r.URL.RequestURI(), headers(r.Header), Indent(body))
+	for name, value := range s.reply.Header {
+		w.Header().Set(name, value)
+	}
+	w.WriteHeader(s.reply.Status)
+	_, _ = io.WriteString(w, s.reply.Body) // the caller tells of an answer that is cut short
+}
+
+// Response returns an answer as text: status, headers, body.
+func Response(recorded *httptest.ResponseRecorder) string {
+	return fmt.Sprintf("%d\n%s%s\n", recorded.Code, headers(recorded.Header()), Indent(recorded.Body.Bytes()))
+}
+
+func headers(all http.Header) string {
+	out := ""
+	for name, values := range all {
+		if !slices.Contains(changing, name) {
+			out += fmt.Sprintf("%s: %s\n", name, strings.Join(values, ", "))
+		}
+	}
+	lines := strings.SplitAfter(out, "\n")
+	slices.Sort(lines)
+	return strings.Join(lines, "")
+}
