--- /dev/null
+++ b/internal/policy/selector/golden_test.go
@@ -0,0 +1,86 @@
+package selector_test
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"go.yaml.in/yaml/v3"
+
+	"github.com/cottonlanding/cottonlanding/internal/golden/transcriber"
+	"github.com/cottonlanding/cottonlanding/internal/policy/blamer"
+	"github.com/cottonlanding/cottonlanding/internal/policy/delegator"
+	"github.com/cottonlanding/cottonlanding/internal/policy/evictor"
+	"github.com/cottonlanding/cottonlanding/internal/policy/mixer"
+	"github.com/cottonlanding/cottonlanding/internal/policy/orderer"
+	"github.com/cottonlanding/cottonlanding/internal/policy/placer"
+	"github.com/cottonlanding/cottonlanding/internal/policy/ranker"
+	"github.com/cottonlanding/cottonlanding/internal/policy/referrer"
+	"github.com/cottonlanding/cottonlanding/internal/policy/selector"
+	"github.com/cottonlanding/cottonlanding/internal/policy/weigher"
+)
+
+// TestGoldenDecisions guards against another name of a decision or of its variants, and against
+// a name that stands for another policy.
+func TestGoldenDecisions(t *testing.T) {
+	placements := map[string]any{"pack": placer.Pack{}, "firstfit": placer.FirstFit{}, "spread": placer.Spread{}}
+	names := ""
+	for _, one := range []struct {
+		decision, fallback string
+		policy             func(selector.Set) any
+		variants           map[string]any
+	}{
+		{"ShortPlacement", "pack", func(s selector.Set) any { return s.Planner.ShortPlacement }, placements},
+		{"LastingPlacement", "pack", func(s selector.Set) any { return s.Planner.LastingPlacement }, placements},
+		{"FillingPlacement", "spread", func(s selector.Set) any { return s.Planner.FillingPlacement }, placements},
+		{"Disturbance", "trials", func(s selector.Set) any { return s.Planner.Disturbance },
+			map[string]any{"cautious": weigher.Cautious{}, "trials": weigher.Trials{}}},
+		{"Mixing", "leastlost", func(s selector.Set) any { return s.Planner.Mixing },
+			map[string]any{"anywhere": mixer.Anywhere{}, "leastlost": mixer.LeastLost{}}},
+		{"Ranking", "worth", func(s selector.Set) any { return s.Planner.Ranking },
+			map[string]any{"arrival": ranker.Arrival{}, "left": ranker.LeastLeft{}, "worth": ranker.Worth{}}},
+		{"Blame", "fair", func(s selector.Set) any { return s.Planner.Blame },
+			map[string]any{"count": blamer.Count{}, "apart": blamer.Apart{}, "fair": blamer.Fair{}}},
+		{"Delegation", "byroom", func(s selector.Set) any { return s.Planner.Delegation },
+			map[string]any{"byroom": delegator.ByRoom{}, "never": delegator.Never{}}},
+		{"Together", "datacentre", func(s selector.Set) any { return s.Planner.KeepsTogether }, map[string]any{"datacentre": true, "never": false}},
+		{"Silence", "place", func(s selector.Set) any { return s.Planner.WatchesPlaces }, map[string]any{"place": true, "worker": false}},
+		{"Referral", "byimage", func(s selector.Set) any { return s.Referral },
+			map[string]any{"byimage": referrer.ByImage{}, "byroom": referrer.ByRoom{}, "never": referrer.Never{}}},
+		{"TakeOver", "reclaim", func(s selector.Set) any { return s.Reclaim }, map[string]any{"reclaim": true, "silence": false}},
+		{"News", "copy", func(s selector.Set) any { return s.SharesNews }, map[string]any{"copy": true, "table": false}},
+	} {
+		require.Equal(t, one.variants[one.fallback], one.policy(selector.Default()), one.decision)
+		for variant, want := range one.variants {
+			var read selector.Names
+			require.NoError(t, yaml.Unmarshal(fmt.Appendf(nil, "%s: %s", one.decision, variant), &read))
+			set, err := selector.New(read)
+			require.NoError(t, err)
+			require.Equal(t, want, one.policy(set), "%s: %s", one.decision, variant)
+		}
+		_, err := selector.New(selector.Names{one.decision: "?"})
+		require.Error(t, err)
+		names += err.Error() + "\n"
+	}
+	_, err := selector.New(selector.Names{"?": ""})
+	require.Error(t, err)
+	transcriber.Compare(t, "decisions.txt", names+err.Error()+"\n")
+}
+
+// TestGoldenCatalogs guards against another name of the policies that the operators' file names.
+func TestGoldenCatalogs(t *testing.T) {
+	require.Equal(t, []string{"firstfit", "pack", "spread"}, placer.Catalog.Names())
+	require.Equal(t, []string{"leastlost", "youngest"}, evictor.Catalog.Names())
+	require.Equal(t, []string{"fifo", "leastshare"}, orderer.Catalog.Names())
+	require.Equal(t, []string{"spread", "leastlost", "fifo"}, []string{placer.Fallback, evictor.Fallback, orderer.Fallback})
+	for name, want := range map[string]any{"leastlost": evictor.LeastLost{}, "youngest": evictor.Youngest{}} {
+		policy, found := evictor.Catalog.Get(name)
+		require.True(t, found)
+		require.Equal(t, want, policy)
+	}
+	for name, want := range map[string]any{"fifo": orderer.FIFO{}, "leastshare": orderer.LeastShare{}} {
+		policy, found := orderer.Catalog.Get(name)
+		require.True(t, found)
+		require.Equal(t, want, policy)
+	}
+}
