--- /dev/null
+++ b/internal/workflow/gateway/golden_gauges_test.go
@@ -0,0 +1,37 @@
+package gateway_test
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/cottonlanding/cottonlanding/internal/golden/transcriber"
+)
+
+// TestGoldenGauges guards against another name of a metric of an owner or of another host.
+func TestGoldenGauges(t *testing.T) {
+	d := deploy(t)
+	owner := d.owner()
+	d.submit(owner, workflow("w"))
+	d.succeeds(owner, "w")
+	var of transcriber.Gauges
+	// Ends are counted as workers list them.
+	require.Eventually(t, func() bool {
+		of = nil
+		d.hosts[owner].SetGauges(of.Set)
+		return slices.ContainsFunc(of, func(one string) bool { return one == "runs_ended_done 6" })
+	}, 10*time.Second, 20*time.Millisecond)
+	for _, want := range []string{"workflow_owner 1", "workflow_cells_owned 1", "workflows_accepted 1", "workflows_succeeded 1", "runs_started 6"} {
+		require.Contains(t, of, want)
+	}
+	for at, one := range of {
+		of[at], _, _ = strings.Cut(one, " ")
+	}
+	transcriber.Compare(t, "gauges.txt", of.Sorted())
+	var other transcriber.Gauges
+	d.hosts[(owner+1)%3].SetGauges(other.Set)
+	require.Equal(t, transcriber.Gauges{"workflow_owner 0"}, other)
+}
