--- a/internal/golden/transcriber/transcriber.go
+++ b/internal/golden/transcriber/transcriber.go
@@ -11,6 +11,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"reflect"
 	"slices"
 	"strings"
 	"sync"
@@ -55,6 +56,57 @@
 	return Indent(data) + "\n"
 }
 
+// RoundTrip compares a filled and a zero value of a type, as they are encoded, with a golden
+// file, and requires the filled one to be decoded as it was.
+func RoundTrip[T any](t testing.TB, name string) {
+	t.Helper()
+	var filled, zero, decoded T
+	number := 0
+	fill(reflect.ValueOf(&filled).Elem(), &number)
+	Compare(t, name+".json", Value(t, filled))
+	Compare(t, name+"-zero.json", Value(t, zero))
+	require.NoError(t, json.Unmarshal(Golden(t, name+".json"), &decoded))
+	require.Equal(t, filled, decoded)
+}
+
+// fill sets all that JSON shows of a value to numbers and texts that differ; maps and slices get
+// one entry.
+func fill(value reflect.Value, number *int) {
+	*number++
+	switch value.Kind() {
+	case reflect.Bool:
+		value.SetBool(true)
+	case reflect.String:
+		value.SetString(fmt.Sprintf("s%d", *number))
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		value.SetInt(int64(*number))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		value.SetUint(uint64(*number))
+	case reflect.Float32, reflect.Float64:
+		value.SetFloat(float64(*number) + 0.5)
+	case reflect.Pointer:
+		value.Set(reflect.New(value.Type().Elem()))
+		fill(value.Elem(), number)
+	case reflect.Slice:
+		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
+		fill(value.Index(0), number)
+	case reflect.Map:
+		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+		fill(key, number)
+		fill(element, number)
+		value.Set(reflect.MakeMap(value.Type()))
+		value.SetMapIndex(key, element)
+	case reflect.Struct:
+		for at := range value.NumField() {
+			if field := value.Type().Field(at); field.IsExported() && field.Tag.Get("json") != "-" {
+				fill(value.Field(at), number)
+			}
+		}
+	default:
+		panic(fmt.Sprintf("no value for %s", value.Type()))
+	}
+}
+
 // Lines returns a line for each text.
 func Lines(texts []string) string { return strings.Join(texts, "\n") + "\n" }
 
