--- /dev/null
+++ b/internal/load/interpreter/export_test.go
@@ -0,0 +1,4 @@
+package interpreter
+
+// Result is result for golden tests.
+type Result = result
