--- /dev/null
+++ b/internal/stand/worker/export_test.go
@@ -0,0 +1,4 @@
+package worker
+
+// SavedCheckpoint is checkpoint for golden tests.
+type SavedCheckpoint = checkpoint
