--- a/internal/workflow/driver/golden_test.go
+++ b/internal/workflow/driver/golden_test.go
@@ -1,9 +1,15 @@
 package driver_test
 
 import (
+	"path"
 	"testing"
 
+	"github.com/google/uuid"
+	"github.com/stretchr/testify/require"
+
+	"github.com/cottonlanding/cottonlanding"
 	"github.com/cottonlanding/cottonlanding/internal/golden/comparer"
+	"github.com/cottonlanding/cottonlanding/internal/platform/keeper"
 	"github.com/cottonlanding/cottonlanding/internal/workflow/driver"
 )
 
@@ -13,3 +19,20 @@
 	comparer.JSON(t, encode, map[string]any{"Fence": driver.Fence{}})
 	comparer.Lines(t, "Keys", driver.FenceRow)
 }
+
+// TestGoldenLane guards against owners whose lanes stand where others don't look for them.
+func TestGoldenLane(t *testing.T) {
+	table := keeper.New()
+	o := newOwner(t, setup{workers: 1, room: 1, policy: spread(), table: func(cottonlanding.Table) cottonlanding.Table { return table }})
+	defer o.driver.Close()
+	o.submit("w", cottonlanding.Step{Tasks: 1})
+	rows, err := table.Scan(t.Context(), partition.Key(""), "", 100)
+	require.NoError(t, err)
+	var lanes []any
+	for _, row := range rows {
+		if before, id := path.Split(string(row.Key)); uuid.Validate(id) == nil {
+			lanes = append(lanes, before)
+		}
+	}
+	comparer.Lines(t, "Lanes", lanes...)
+}
