--- a/internal/workflow/driver/attendant.go
+++ b/internal/workflow/driver/attendant.go
@@ -111,7 +111,7 @@
 // wakeAttendants lets attendants look again that waited for a commit.
 func (d *Driver) wakeAttendants() {
 	for id, attendant := range d.attended {
-		if d.cell.Seen(id) {
+		if d.cell.EndsCommitted(id) {
 			attendant.Wake()
 		}
 	}
--- a/internal/workflow/driver/cordon.go
+++ b/internal/workflow/driver/cordon.go
@@ -63,10 +63,10 @@
 func (c *cordon) check(order planner.Order) error {
 	evacuations := c.evacuations()
 	if evacuations.Cover(order.DataCentre) {
-		return fmt.Errorf("data centre %s is evacuated: %w", order.DataCentre, planner.ErrUnwanted)
+		return fmt.Errorf("data centre %s is evacuated: %w", order.DataCentre, planner.ErrObsoleteStart)
 	}
 	if c.leaves(order.Worker.Life.Worker) {
-		return fmt.Errorf("the worker is leaving: %w", planner.ErrUnwanted)
+		return fmt.Errorf("the worker is leaving: %w", planner.ErrObsoleteStart)
 	}
 	if known := c.agesWith(evacuations); known.tooOld() {
 		return fmt.Errorf("%w: evacuations were read %s ago, the list %s", cottonlanding.ErrLate, known.evacuations, known.list)
--- a/internal/workflow/driver/owner_test.go
+++ b/internal/workflow/driver/owner_test.go
@@ -86,7 +86,7 @@
 		"Q": {Name: "Q", Service: "S", Attempts: 3, Stretch: 2, LatencyTarget: 1000},
 	}}
 	policy := everyPlacement(s.policy)
-	policy.WatchesPlaces, policy.KeepsTogether = !s.plainSilence, !s.apart
+	policy.WatchesDataCentres, policy.KeepsInOneDataCentre = !s.plainSilence, !s.apart
 	deps := driver.Dependencies{
 		Table:       table,
 		Workers:     client,
--- a/internal/workflow/driver/sender.go
+++ b/internal/workflow/driver/sender.go
@@ -81,7 +81,7 @@
 		d.mu.Lock()
 		for _, a := range d.outbox.answers() {
 			if d.cell != nil {
-				d.cell.Ordered(a.order, a.reading, a.err, a.at)
+				d.cell.OrderAnswered(a.order, a.reading, a.err, a.at)
 			}
 		}
 		d.mu.Unlock()
@@ -96,8 +96,8 @@
 	if order.SentAt >= d.deps.ValidUntil() {
 		return 0, fmt.Errorf("%w: the ownership has run out", cottonlanding.ErrLate)
 	}
-	if order.Unwanted() {
-		return 0, planner.ErrUnwanted
+	if order.Obsolete() {
+		return 0, planner.ErrObsoleteStart
 	}
 	if order.Verb == planner.VerbStart {
 		if err := d.cordon.check(order); err != nil {
--- a/internal/workflow/gateway/gauges.go
+++ b/internal/workflow/gateway/gauges.go
@@ -24,7 +24,7 @@
 		"workflows_cancelled": counts.Cancelled,
 		"runs_started":        counts.Starts,
 		"runs_lost":           counts.Lost,
-		"workflows_convicted": counts.Convicted,
+		"workflows_convicted": counts.FailedByCrashes,
 		"runs_stuck":          counts.Stuck,
 		"runs_evicted":        counts.Evicted,
 		"tasks_delegated":     counts.Delegated,
--- a/internal/workflow/gateway/timing.go
+++ b/internal/workflow/gateway/timing.go
@@ -135,11 +135,11 @@
 // the state of a final workflow can be asked for.
 func PlannerTiming(lease, stopTimeout, retention cottonlanding.Millis) planner.Timing {
 	return planner.Timing{
-		Lease:        min(lease, longestLease),
-		LongestLease: lease,
-		CutOffGrace:  cutOffGrace,
-		LeaseTail:    min(lease, longestLease) + leaseTail,
-		StopTimeout:  stopTimeout,
-		Retention:    retention,
+		Lease:                 min(lease, longestLease),
+		MaxLease:              lease,
+		CutOffGrace:           cutOffGrace,
+		MaxLeasePastOwnership: min(lease, longestLease) + leaseTail,
+		StopTimeout:           stopTimeout,
+		Retention:             retention,
 	}
 }
--- a/internal/workflow/planner/adoptedrun_test.go
+++ b/internal/workflow/planner/adoptedrun_test.go
@@ -30,7 +30,7 @@
 	_, err := w.send(w.late[0])
 	require.NoError(w.t, err)
 	w.late = nil
-	w.lookAll()
+	w.pollAll()
 	require.Equal(w.t, 1, w.runner.Running())
 }
 
@@ -49,7 +49,7 @@
 	w.orders(func() string { return "" })
 	w.rebirth(0)
 	w.relist()
-	w.lookAll()
+	w.pollAll()
 	require.Contains(t, w.cell.Fingerprint(w.now), "{1 1}")
 	twiceBegun(w, 9*cottonlanding.Second)
 	w.turn(turnSpan)
@@ -64,6 +64,6 @@
 	twiceBegun(w, 9*cottonlanding.Second)
 	w.rebirth(0)
 	w.relist()
-	w.lookAll()
+	w.pollAll()
 	require.Contains(t, w.cell.Fingerprint(w.now), "{1 0}")
 }
--- a/internal/workflow/planner/againhistory_test.go
+++ b/internal/workflow/planner/againhistory_test.go
@@ -108,9 +108,9 @@
 		w.log = h.logger()
 	}
 	p := newPlayedCell(w, h.random)
-	w.culprits, w.crashAfter = make(map[cottonlanding.TaskRef]bool), promptCrash
+	w.faultyTasks, w.crashAfter = make(map[cottonlanding.TaskRef]bool), promptCrash
 	if number > 0 {
-		w.culprits = h.cells[0].culprits
+		w.faultyTasks = h.cells[0].faultyTasks
 	}
 	h.cells = append(h.cells, p)
 	for range h.workers {
--- a/internal/workflow/planner/againtrouble_test.go
+++ b/internal/workflow/planner/againtrouble_test.go
@@ -271,7 +271,7 @@
 func (h *againHistory) submitCulprit() {
 	h.submitted++
 	id := cottonlanding.WorkflowID(fmt.Sprintf("c%d", h.submitted))
-	h.cells[0].culprits[first(id)] = true
+	h.cells[0].faultyTasks[first(id)] = true
 	h.tell("culprit %s", id)
 	h.hand(0, id, short(1000))
 }
--- a/internal/workflow/planner/apart.go
+++ b/internal/workflow/planner/apart.go
@@ -35,7 +35,7 @@
 
 // apart reports whether a task has to run where nothing else begins at the same time.
 func (c *Cell) apart(t *task, now cottonlanding.Millis) bool {
-	return c.policy.Blame.Isolates(t.crashes) && (t.hasFewLosses() || now-t.since < apartPatience)
+	return c.policy.Blame.Isolates(t.crashes) && (t.hasFewLosses() || now-t.waitingSince < apartPatience)
 }
 
 // hasFewLosses reports whether the task has few losses left before it is given up.
@@ -55,7 +55,7 @@
 // awaitsNews reports whether the task must not begin yet: it has one loss left, and what it has lost last may
 // be that.
 func (t *task) awaitsNews(now cottonlanding.Millis) bool {
-	return t.openLife.Worker != "" && t.hasLastStart() && now-t.since < newsPatience
+	return t.openLife.Worker != "" && t.hasLastStart() && now-t.waitingSince < newsPatience
 }
 
 // unstable reports whether workers fell silent just now: what has caused that may go on.
@@ -73,12 +73,12 @@
 		return true
 	case !c.apart(t, now):
 		return false
-	case now-t.since >= t.patience(): // where tasks begin all the time, it would wait for ever
+	case now-t.waitingSince >= t.patience(): // where tasks begin all the time, it would wait for ever
 	case w.beganAt > 0 && now-w.beganAt < apartFor, t.hasFewLosses() && c.unstable(now):
 		return true
 	}
-	c.apartWorkers = slices.DeleteFunc(c.apartWorkers, func(other *worker) bool { return !other.runsApart(now) })
-	return apartShare*len(c.apartWorkers) >= len(c.workers)
+	c.isolatedWorkers = slices.DeleteFunc(c.isolatedWorkers, func(other *worker) bool { return !other.runsApart(now) })
+	return apartShare*len(c.isolatedWorkers) >= len(c.workers)
 }
 
 // runsApart reports whether the worker is kept for a run that runs apart and hasn't ended.
@@ -94,7 +94,7 @@
 		if t.hasFewLosses() {
 			w.apartUntil = now + lastApartFor
 		}
-		c.apartWorkers = append(c.apartWorkers, w)
+		c.isolatedWorkers = append(c.isolatedWorkers, w)
 	}
 }
 
--- a/internal/workflow/planner/bench_test.go
+++ b/internal/workflow/planner/bench_test.go
@@ -44,7 +44,7 @@
 const (
 	busyWorkers = 48
 	busyTurn    = 15 * cottonlanding.Millis(1)
-	busyLooks   = 2 // a second and worker
+	busyPolls   = 2 // a second and worker
 )
 
 func newBusyDay() *busyDay { return newBusyDayOf(busyWorkers) }
@@ -97,8 +97,8 @@
 	d.cell.Submit(w, d.now, func(error) {})
 }
 
-// second plays one second.
-func (d *busyDay) second() {
+// runSecond plays one runSecond.
+func (d *busyDay) runSecond() {
 	turns := int(cottonlanding.Second / busyTurn)
 	for turn := range turns {
 		d.now += busyTurn
@@ -110,16 +110,16 @@
 				Image: cottonlanding.Image(fmt.Sprintf("f%d", d.random.Intn(9)))})
 		}
 		for at, w := range d.workers {
-			if (turn+at)%(turns/busyLooks) == 0 {
-				d.look(w)
+			if (turn+at)%(turns/busyPolls) == 0 {
+				d.poll(w)
 			}
 		}
 		d.turn()
 	}
 }
 
-// look lets a worker tell what it runs.
-func (d *busyDay) look(w *busyWorker) {
+// poll lets a worker tell what it runs.
+func (d *busyDay) poll(w *busyWorker) {
 	report := cottonlanding.RunReport{Reading: cottonlanding.Reading(d.now)}
 	w.running = slices.DeleteFunc(w.running, func(r busyRun) bool {
 		if r.step.Lasting || r.left > d.now {
@@ -153,12 +153,12 @@
 	}
 	for _, order := range d.cell.Orders(d.now) {
 		at, _ := slices.BinarySearchFunc(d.workers, order.Worker.Life.Worker, func(w *busyWorker, id cottonlanding.WorkerID) int { return cmp.Compare(w.id, id) })
-		d.workers[at].obey(order, d)
-		d.cell.Ordered(order, cottonlanding.Reading(d.now), nil, d.now)
+		d.workers[at].execute(order, d)
+		d.cell.OrderAnswered(order, cottonlanding.Reading(d.now), nil, d.now)
 	}
 }
 
-func (w *busyWorker) obey(order planner.Order, d *busyDay) {
+func (w *busyWorker) execute(order planner.Order, d *busyDay) {
 	key := order.Start.RunKey
 	switch order.Verb {
 	case planner.VerbStart:
@@ -175,7 +175,7 @@
 func BenchmarkBusySecond(b *testing.B) {
 	d := newBusyDay()
 	for range b.N {
-		d.second()
+		d.runSecond()
 	}
 }
 
@@ -186,12 +186,12 @@
 		b.Run(fmt.Sprintf("Workers=%d", workers), func(b *testing.B) {
 			d := newBusyDayOf(workers)
 			for range 5 {
-				d.second()
+				d.runSecond()
 			}
 			starts := d.cell.Counts().Starts
 			b.ResetTimer()
 			for range b.N {
-				d.second()
+				d.runSecond()
 			}
 			b.ReportMetric(float64(d.cell.Counts().Starts-starts)/float64(b.N), "starts/s")
 		})
--- a/internal/workflow/planner/blame.go
+++ b/internal/workflow/planner/blame.go
@@ -47,7 +47,7 @@
 func lostSoon(w *worker, runs []*run, at cottonlanding.Millis) []*run {
 	var lost []*run
 	for _, r := range runs {
-		if r.mayHaveJustBegun(at) || r.beganSoonBefore(at) && !w.departsWith(r) {
+		if r.mayHaveJustBegun(at) || r.mayHaveBegunSoonBefore(at) && !w.departsWith(r) {
 			lost = append(lost, r)
 		}
 	}
@@ -80,7 +80,7 @@
 		}
 		loss := lossOf(end, w, r, slices.Contains(suspects, r))
 		finding := c.weigh(r, loss)
-		verdicts = append(verdicts, fmt.Sprintf("%s#%d seen for %d %s losses %d crashes %d", r.Task, r.Number, r.seenFor(),
+		verdicts = append(verdicts, fmt.Sprintf("%s#%d seen for %d %s losses %d crashes %d", r.Task, r.Number, r.observedFor(),
 			finding, r.task.crashes.Losses, r.task.crashes.Crashes))
 		suspect := cottonlanding.SuspectView{Record: r.task.crashes, Finding: finding, Alone: len(suspects) == 1, Prompt: r.beganJustBefore(at), Crash: crash}
 		if finding > cottonlanding.NoProof && c.convicts(suspect) {
@@ -142,7 +142,7 @@
 	if r.suspected {
 		r.task.crashes.Crashes++
 	}
-	c.touch(r.task.job)
+	c.markDirty(r.task.job)
 }
 
 // absolve takes back the loss of a run whose only start is known by now to have had no effect: the
@@ -162,7 +162,7 @@
 	if r.suspected {
 		t.crashes.Crashes--
 	}
-	c.touch(t.job)
+	c.markDirty(t.job)
 	c.log.Info("loss taken back", "Task", t.ref.String(), "Worker", r.worker.info.ID, "Losses", t.crashes.Losses, "Crashes", t.crashes.Crashes)
 }
 
@@ -178,7 +178,7 @@
 			continue
 		}
 		c.counts.Failed++
-		c.counts.Convicted++
+		c.counts.FailedByCrashes++
 		reason := fmt.Sprintf("task %s was lost with %d workers that ended soon after it began, and is taken for the cause of %d of these ends",
 			t.ref, t.crashes.Losses, t.crashes.Crashes)
 		c.end(t.job, cottonlanding.WorkflowFailed, reason, now)
@@ -196,7 +196,7 @@
 	}
 	c.log.Info("task cleared", "Task", t.ref.String(), "Run", r.Number, "Worker", r.worker.info.ID, "Losses", t.crashes.Losses, "Crashes", t.crashes.Crashes)
 	t.clearLosses()
-	c.touch(t.job)
+	c.markDirty(t.job)
 }
 
 // clearLosses forgets what is kept against the task.
--- a/internal/workflow/planner/blame_test.go
+++ b/internal/workflow/planner/blame_test.go
@@ -99,7 +99,7 @@
 	}
 	for index := range step.Tasks {
 		if h.random.Intn(culpritOdds) == 0 && !h.sound {
-			h.culprits[cottonlanding.TaskRef{Workflow: id, Index: index}] = true
+			h.faultyTasks[cottonlanding.TaskRef{Workflow: id, Index: index}] = true
 			h.guilty[id] = true
 		}
 	}
@@ -136,7 +136,7 @@
 	case 3: // another owner
 		h.takeOver()
 	case 4: // another owner, after a commit whose answer is lost
-		if h.begin(); h.plan != nil {
+		if h.makePlan(); h.plan != nil {
 			h.apply()
 			h.takeOver()
 		}
@@ -188,7 +188,7 @@
 		h.commit()
 		h.orders(h.fault)
 		for _, info := range slices.Clone(h.workers) {
-			h.look(info.ID, h.odds == 0 || h.random.Intn(60) > 0)
+			h.poll(info.ID, h.odds == 0 || h.random.Intn(60) > 0)
 		}
 	}
 	h.revive()
@@ -229,7 +229,7 @@
 // cost returns how many workers crashed under each culprit that was started, and how many
 // culprits crashed just two.
 func (h *history) cost() (crashed, culprits, atTwo int) {
-	for culprit := range h.culprits {
+	for culprit := range h.faultyTasks {
 		under := h.runner.CrashesUnder(culprit)
 		if under == 0 {
 			continue
--- a/internal/workflow/planner/blamedlives_test.go
+++ b/internal/workflow/planner/blamedlives_test.go
@@ -24,7 +24,7 @@
 // newCulprit hands in a task that crashes its workers and that only the first worker may run.
 func newCulprit(t require.TestingT) *world {
 	w := bornWorld(t)
-	w.culprits, w.crashAfter = map[cottonlanding.TaskRef]bool{first("culprit"): true}, promptCrash
+	w.faultyTasks, w.crashAfter = map[cottonlanding.TaskRef]bool{first("culprit"): true}, promptCrash
 	w.submit("culprit", "Urgent", only("w1", 1))
 	return w
 }
@@ -65,7 +65,7 @@
 				w.rebirth(0)
 				w.workers[0].State = cottonlanding.Leaving
 				next(w)
-				w.lookAll()
+				w.pollAll()
 				w.setState(cottonlanding.Live)
 			}
 			w.requireGivenUp()
@@ -80,7 +80,7 @@
 	for range crashLosses {
 		w.crashFirst()
 		w.setState(cottonlanding.Leaving)
-		w.look("w1", true) // its connection breaks
+		w.poll("w1", true) // its connection breaks
 		w.hearNextLife()
 	}
 	w.requireGivenUp()
@@ -90,7 +90,7 @@
 func (w *world) hearNextLife() {
 	w.rebirth(0)
 	w.now += cottonlanding.Second
-	w.look("w1", true)
+	w.poll("w1", true)
 	w.setState(cottonlanding.Live)
 }
 
@@ -118,7 +118,7 @@
 	require.Equal(t, 6, w.runner.Running())
 	w.rebirth(0)
 	w.relist()
-	w.lookAll()
+	w.pollAll()
 	before := w.runner.Starts()
 	for range 100 {
 		if w.runner.Starts() > before {
@@ -129,8 +129,8 @@
 	require.Greater(t, w.runner.Starts(), before)
 	w.rebirth(0)
 	w.relist()
-	w.lookAll()
-	require.Zero(t, w.cell.Counts().Convicted)
+	w.pollAll()
+	require.Zero(t, w.cell.Counts().FailedByCrashes)
 }
 
 // leavesOdds is one in how many lives says that it leaves as soon as it has begun, for leavesFor.
--- a/internal/workflow/planner/blameleaving_test.go
+++ b/internal/workflow/planner/blameleaving_test.go
@@ -22,7 +22,7 @@
 	for range calmTurns {
 		w.now += turnSpan
 		w.orders(func() string { return "" })
-		w.lookAll()
+		w.pollAll()
 	}
 }
 
@@ -54,12 +54,12 @@
 	for range crashLosses {
 		w.commit()
 		orders := w.cell.Orders(w.now)
-		w.look("w1", false)
+		w.poll("w1", false)
 		for _, order := range orders { // they have waited behind others
 			w.now += promptCrash
 			order.SentAt = w.now
 			reading, err := w.send(order)
-			w.cell.Ordered(order, reading, err, w.now)
+			w.cell.OrderAnswered(order, reading, err, w.now)
 		}
 		w.setState(cottonlanding.Leaving)
 		if w.final("culprit") {
@@ -77,7 +77,7 @@
 		w.orders(func() string { return "late" })
 		w.setState(cottonlanding.Leaving)
 		w.now += cottonlanding.Second
-		w.lookAll()
+		w.pollAll()
 		for _, order := range w.late {
 			_, _ = w.send(order)
 		}
--- a/internal/workflow/planner/blameonce_test.go
+++ b/internal/workflow/planner/blameonce_test.go
@@ -22,13 +22,13 @@
 		require.Greater(t, w.runner.Starts(), before)
 		w.rebirth(0)
 		w.relist()
-		w.lookAll() // lost
+		w.pollAll() // lost
 		w.commit()
 		w.takeOver()
-		w.lookAll()
-		require.Zero(t, w.cell.Counts().Convicted)
+		w.pollAll()
+		require.Zero(t, w.cell.Counts().FailedByCrashes)
 	}
-	w.play(slowLasts + 5000)
+	w.play(slowDuration + 5000)
 	w.requireState("slow", "Succeeded")
 	require.Empty(t, w.runner.Violations())
 }
--- a/internal/workflow/planner/blameoutage_test.go
+++ b/internal/workflow/planner/blameoutage_test.go
@@ -17,7 +17,7 @@
 	}
 	w.relist()
 	for at := len(w.workers) - 1; at >= 0; at-- {
-		w.look(w.workers[at].ID, true)
+		w.poll(w.workers[at].ID, true)
 	}
 	for at := range w.workers {
 		w.workers[at].State = cottonlanding.Live
@@ -41,7 +41,7 @@
 				w.orders(func() string { return "" })
 				require.Greater(t, w.runner.Starts(), before)
 				w.crashAll(back)
-				require.Zero(t, w.cell.Counts().Convicted)
+				require.Zero(t, w.cell.Counts().FailedByCrashes)
 			}
 		})
 	}
--- a/internal/workflow/planner/blamerefused_test.go
+++ b/internal/workflow/planner/blamerefused_test.go
@@ -35,12 +35,12 @@
 	first := w.cell.Orders(w.now)
 	require.Len(t, first, 1)
 	first[0].SentAt = w.now
-	w.cell.Ordered(first[0], 0, cottonlanding.ErrAmbiguous, w.now)
+	w.cell.OrderAnswered(first[0], 0, cottonlanding.ErrAmbiguous, w.now)
 	w.now += cottonlanding.Second / 2
 	second := w.cell.Orders(w.now)
 	require.Len(t, second, 1)
 	second[0].SentAt = w.now
 	w.lookAtOtherLife(second[0])
-	w.cell.Ordered(second[0], 0, cottonlanding.ErrOtherLife, w.now)
+	w.cell.OrderAnswered(second[0], 0, cottonlanding.ErrOtherLife, w.now)
 	require.Contains(t, w.cell.Fingerprint(w.now), "{1 0}", "it may have been the cause, and nobody knows that it began")
 }
--- a/internal/workflow/planner/cell.go
+++ b/internal/workflow/planner/cell.go
@@ -20,12 +20,12 @@
 type Timing struct {
 	// Lease is how long a worker goes on without hearing from the owner.
 	Lease cottonlanding.Millis
-	// LongestLease is the most that a worker takes, whatever it is told.
-	LongestLease cottonlanding.Millis
+	// MaxLease is the most that a worker takes, whatever it is told.
+	MaxLease cottonlanding.Millis
 	// CutOffGrace is how long an owner that lost the table keeps renewing leases.
 	CutOffGrace cottonlanding.Millis
-	// LeaseTail is for how long after its owner surely owns the cell a lease lasts at most; zero is no bound.
-	LeaseTail cottonlanding.Millis
+	// MaxLeasePastOwnership is for how long after its owner surely owns the cell a lease lasts at most; zero is no bound.
+	MaxLeasePastOwnership cottonlanding.Millis
 	// StopTimeout is how long a worker takes at most to stop a run.
 	StopTimeout cottonlanding.Millis
 	// Retention is how long a final workflow is kept.
@@ -65,30 +65,30 @@
 	// startsHeld says that no start is given out, since what is known is too old.
 	startsHeld bool
 
-	jobs    map[cottonlanding.WorkflowID]*job
-	order   []*job // by acceptance, open ones only
-	workers map[cottonlanding.WorkerID]*worker
+	jobs     map[cottonlanding.WorkflowID]*job
+	openJobs []*job // by acceptance, open ones only
+	workers  map[cottonlanding.WorkerID]*worker
 	// sorted holds the workers by id; nil when it must be made anew.
 	sorted []*worker
 
 	// meanWork is that of the workflows of each queue, in millicore-milliseconds.
 	meanWork map[cottonlanding.QueueName]float64
 
-	dirty    map[cottonlanding.WorkflowID]*job
-	replies  map[cottonlanding.WorkflowID][]func(error)
-	inFlight *Plan
+	dirty     map[cottonlanding.WorkflowID]*job
+	callbacks map[cottonlanding.WorkflowID][]func(error)
+	inFlight  *Plan
 	// referrals are the workflows of this home that other cells keep, unwritten those
 	// among them that are in no plan yet, with who waits for that.
-	referrals map[cottonlanding.WorkflowID]*referral
-	unwritten map[cottonlanding.WorkflowID][]func(error)
-	// away holds the workflows of which other cells may run tasks.
-	away map[cottonlanding.WorkflowID]*job
-	// interruptedTurns and delegableTurns are where Delegables goes on.
-	interruptedTurns, delegableTurns taskTurns
-	// unheardTurns is where leaveUnheard goes on.
-	unheardTurns taskTurns
-	// guestNews says that something was committed that guest cells are to be told.
-	guestNews bool
+	referrals          map[cottonlanding.WorkflowID]*referral
+	unplannedReferrals map[cottonlanding.WorkflowID][]func(error)
+	// remote holds the workflows of which other cells may run tasks.
+	remote map[cottonlanding.WorkflowID]*job
+	// interruptedCursor and delegableCursor are where Delegables goes on.
+	interruptedCursor, delegableCursor taskTurns
+	// unheardCursor is where leaveUnheard goes on.
+	unheardCursor taskTurns
+	// delegationChanged says that something was committed that guest cells are to be told.
+	delegationChanged bool
 	// report is what was left of the cell at reportedAt, if it had usable workers.
 	report     Report
 	reportable bool
@@ -96,8 +96,8 @@
 	// plans counts the plans made.
 	plans    int64
 	pressure *pressure
-	// weighs says that a workflow here has named images, which disturb each other.
-	weighs bool
+	// hasImages says that a workflow here has named images, which disturb each other.
+	hasImages bool
 	// learntAt is when what was learnt was last written, learntVersion that row's version.
 	learntAt      cottonlanding.Millis
 	learntVersion cottonlanding.Version
@@ -108,16 +108,16 @@
 	ended map[cottonlanding.WorkerID]endedLife
 	// outages lists when workers fell silent lately, apartWorkers those that are kept for
 	// runs that run apart.
-	outages      []outage
-	apartWorkers []*worker
+	outages         []outage
+	isolatedWorkers []*worker
 	// listRead says that the list of workers was read once.
 	listRead bool
-	// open holds the lives that tasks have left open, by worker.
-	open map[cottonlanding.WorkerID]*openLives
+	// openLivesByWorker holds the lives that tasks have left openLivesByWorker, by worker.
+	openLivesByWorker map[cottonlanding.WorkerID]*openLives
 	// bounds are the lease bounds of silent workers that are written down.
 	bounds leaseBounds
-	// due is what is due to lasting tasks that have run, as of the last decision.
-	due dues
+	// reserved is what is reserved to lasting tasks that have run, as of the last decision.
+	reserved dues
 	// superseded says that a worker has seen a newer owner.
 	superseded bool
 	counts     Counts
@@ -136,8 +136,8 @@
 	Ends map[cottonlanding.EndKind]int64
 	// Lost counts runs whose worker's lease surely lapsed or whose life ended.
 	Lost int64
-	// Convicted counts the workflows that were given up because a task crashes its workers.
-	Convicted int64
+	// FailedByCrashes counts the workflows that were given up because a task crashes its workers.
+	FailedByCrashes int64
 	// Stuck counts runs that were stopped because they stood still.
 	Stuck int64
 	// Evicted counts runs that gave way to more urgent ones.
@@ -148,9 +148,9 @@
 	HandedOver int64
 	// Delegated counts tasks that were delegated to another cell.
 	Delegated int64
-	// TakenBack counts runs that were taken back before their start was answered, because
+	// RevokedStarts counts runs that were taken back before their start was answered, because
 	// their worker may be given nothing any more.
-	TakenBack int64
+	RevokedStarts int64
 }
 
 // Add adds the counts of another cell.
@@ -161,13 +161,13 @@
 	c.Cancelled += other.Cancelled
 	c.Starts += other.Starts
 	c.Lost += other.Lost
-	c.Convicted += other.Convicted
+	c.FailedByCrashes += other.FailedByCrashes
 	c.Stuck += other.Stuck
 	c.Evicted += other.Evicted
 	c.Referred += other.Referred
 	c.HandedOver += other.HandedOver
 	c.Delegated += other.Delegated
-	c.TakenBack += other.TakenBack
+	c.RevokedStarts += other.RevokedStarts
 	if c.Ends == nil {
 		c.Ends = make(map[cottonlanding.EndKind]int64)
 	}
@@ -179,24 +179,24 @@
 // New returns a cell without workflows or workers.
 func New(setup Setup, timing Timing, policy Policy, log *slog.Logger) *Cell {
 	return &Cell{
-		setup:       setup,
-		timing:      timing,
-		policy:      policy,
-		log:         log,
-		logs:        newKindLogs(log),
-		jobs:        make(map[cottonlanding.WorkflowID]*job),
-		workers:     make(map[cottonlanding.WorkerID]*worker),
-		silentSince: make(map[cottonlanding.DataCentre]cottonlanding.Millis),
-		ended:       make(map[cottonlanding.WorkerID]endedLife),
-		meanWork:    make(map[cottonlanding.QueueName]float64),
-		dirty:       make(map[cottonlanding.WorkflowID]*job),
-		replies:     make(map[cottonlanding.WorkflowID][]func(error)),
-		away:        make(map[cottonlanding.WorkflowID]*job),
-		referrals:   make(map[cottonlanding.WorkflowID]*referral),
-		unwritten:   make(map[cottonlanding.WorkflowID][]func(error)),
-		pressure:    newPressure(policy.Disturbance),
-		open:        make(map[cottonlanding.WorkerID]*openLives),
-		counts:      Counts{Ends: make(map[cottonlanding.EndKind]int64)},
+		setup:              setup,
+		timing:             timing,
+		policy:             policy,
+		log:                log,
+		logs:               newKindLogs(log),
+		jobs:               make(map[cottonlanding.WorkflowID]*job),
+		workers:            make(map[cottonlanding.WorkerID]*worker),
+		silentSince:        make(map[cottonlanding.DataCentre]cottonlanding.Millis),
+		ended:              make(map[cottonlanding.WorkerID]endedLife),
+		meanWork:           make(map[cottonlanding.QueueName]float64),
+		dirty:              make(map[cottonlanding.WorkflowID]*job),
+		callbacks:          make(map[cottonlanding.WorkflowID][]func(error)),
+		remote:             make(map[cottonlanding.WorkflowID]*job),
+		referrals:          make(map[cottonlanding.WorkflowID]*referral),
+		unplannedReferrals: make(map[cottonlanding.WorkflowID][]func(error)),
+		pressure:           newPressure(policy.Disturbance),
+		openLivesByWorker:  make(map[cottonlanding.WorkerID]*openLives),
+		counts:             Counts{Ends: make(map[cottonlanding.EndKind]int64)},
 	}
 }
 
@@ -218,7 +218,7 @@
 	c.queues = queues
 	for _, j := range c.jobs {
 		if queue, known := queues.Queues[j.Queue]; known {
-			j.queue, j.outlook = queue, nil
+			j.queue, j.forecast = queue, nil
 		}
 	}
 }
@@ -226,20 +226,20 @@
 // Abandon answers everyone who waits for a commit with err. The cell must not be
 // used after.
 func (c *Cell) Abandon(err error) {
-	for _, replies := range c.replies {
-		answer(replies, err)
+	for _, callbacks := range c.callbacks {
+		callAll(callbacks, err)
 	}
-	for _, replies := range c.unwritten {
-		answer(replies, err)
+	for _, callbacks := range c.unplannedReferrals {
+		callAll(callbacks, err)
 	}
 	if c.inFlight != nil {
-		answer(c.inFlight.replies, err)
+		callAll(c.inFlight.callbacks, err)
 	}
-	c.replies, c.unwritten, c.inFlight = nil, nil, nil
+	c.callbacks, c.unplannedReferrals, c.inFlight = nil, nil, nil
 }
 
-func answer(replies []func(error), err error) {
-	for _, reply := range replies {
+func callAll(callbacks []func(error), err error) {
+	for _, reply := range callbacks {
 		reply(err)
 	}
 }
--- a/internal/workflow/planner/checkpoint_test.go
+++ b/internal/workflow/planner/checkpoint_test.go
@@ -12,7 +12,7 @@
 // savedWorld is a world whose workers list texts.
 func savedWorld(t require.TestingT) *world {
 	w := newSpreadWorld(t)
-	w.texts = newTextBook()
+	w.checkpoints = newTextBook()
 	for range 3 {
 		w.turn(turnSpan)
 	}
@@ -52,14 +52,14 @@
 		w := savedWorld(t)
 		w.submitSaved("again", quick(2), saving(1))
 		w.play(10 * cottonlanding.Second)
-		require.Empty(t, w.texts.faults)
-		require.NotEmpty(t, w.texts.brought[cottonlanding.RunKey{Task: cottonlanding.TaskRef{Workflow: "again", Step: 1}, Number: 2}])
+		require.Empty(t, w.checkpoints.faults)
+		require.NotEmpty(t, w.checkpoints.brought[cottonlanding.RunKey{Task: cottonlanding.TaskRef{Workflow: "again", Step: 1}, Number: 2}])
 	})
 	t.Run("in the row", func(t *testing.T) {
 		w := savedWorld(t)
 		w.loadRow("b", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"text"]]}`, quick(1))
 		w.play(5 * cottonlanding.Second)
-		require.Empty(t, w.texts.faults)
+		require.Empty(t, w.checkpoints.faults)
 		require.Equal(t, 1, w.runner.Starts())
 	})
 }
@@ -73,13 +73,13 @@
 func (w *world) ordersBut(lost func(planner.Order) bool) {
 	for _, order := range w.cell.Orders(w.now) {
 		order.SentAt = w.now
-		w.texts.recordOrder(order)
+		w.checkpoints.recordOrder(order)
 		var reading cottonlanding.Reading
 		err := error(cottonlanding.ErrAmbiguous)
 		if !lost(order) {
 			reading, err = w.send(order)
 		}
-		w.cell.Ordered(order, reading, err, w.now)
+		w.cell.OrderAnswered(order, reading, err, w.now)
 	}
 }
 
@@ -89,7 +89,7 @@
 	w.takeOver()
 	w.play(2 * cottonlanding.Second)
 	require.Equal(t, starts, w.runner.Starts())
-	require.Empty(t, w.texts.faults)
+	require.Empty(t, w.checkpoints.faults)
 }
 
 // turnWithout is turn with the starts of one task lost.
@@ -97,7 +97,7 @@
 	w.now += turnSpan
 	w.commit()
 	w.ordersBut(func(order planner.Order) bool { return order.Start.Task == task })
-	w.lookAll()
+	w.pollAll()
 }
 
 // The page that describes workers says that the text of any member serves for its gang, and
@@ -107,8 +107,8 @@
 	w := savedWorld(t)
 	w.submitSaved("again", savingGang(2))
 	w.play(10 * cottonlanding.Second)
-	require.Empty(t, w.texts.faults)
-	text := w.texts.brought[cottonlanding.RunKey{Task: first("again"), Number: 2}]
+	require.Empty(t, w.checkpoints.faults)
+	text := w.checkpoints.brought[cottonlanding.RunKey{Task: first("again"), Number: 2}]
 	require.Contains(t, text, "again.0.0.1#1", "the second member's worker is asked last")
 	state, _ := w.cell.State("again")
 	require.Equal(t, cottonlanding.WorkflowSucceeded, state)
@@ -125,13 +125,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := savedWorld(t)
-			w.texts.note(cottonlanding.TaskRef{Workflow: "gang", Index: 1}, "two")
-			w.texts.note(cottonlanding.TaskRef{Workflow: "gang", Index: 2}, "three")
+			w.checkpoints.note(cottonlanding.TaskRef{Workflow: "gang", Index: 1}, "two")
+			w.checkpoints.note(cottonlanding.TaskRef{Workflow: "gang", Index: 2}, "three")
 			w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+tasks+`]}`, savingGang(3))
 			w.play(5 * cottonlanding.Second)
-			require.Empty(t, w.texts.faults)
-			require.NotEmpty(t, w.texts.brought)
-			for _, text := range w.texts.brought {
+			require.Empty(t, w.checkpoints.faults)
+			require.NotEmpty(t, w.checkpoints.brought)
+			for _, text := range w.checkpoints.brought {
 				require.EqualValues(t, "two", text)
 			}
 		})
@@ -142,13 +142,13 @@
 // each start of the other was lost. The first row is that of the gang's first task.
 func partlyStarted(t require.TestingT, firstRow string) *world {
 	w := savedWorld(t)
-	w.texts.note(first("slow"), "one")
+	w.checkpoints.note(first("slow"), "one")
 	w.loadRow("slow", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+firstRow+`,["",1]]}`, savingGang(2))
 	for range 20 {
 		w.turnWithout(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
 	}
 	require.Equal(t, 1, w.runner.Starts())
-	require.Greater(t, len(w.texts.listed[first("slow")]), 1, "the member that has begun lists texts")
+	require.Greater(t, len(w.checkpoints.listed[first("slow")]), 1, "the member that has begun lists texts")
 	return w
 }
 
@@ -159,7 +159,7 @@
 	w := partlyStarted(t, `["",1,"",0,"one"]`)
 	w.play(2 * cottonlanding.Second)
 	require.Equal(t, 2, w.runner.Starts())
-	require.Empty(t, w.texts.faults)
+	require.Empty(t, w.checkpoints.faults)
 }
 
 // A gang is done with its first member that is, and its texts are dropped. A start of another
@@ -167,7 +167,7 @@
 // before had brought.
 func TestRepeatedStartOfAGangThatIsDoneBringsItsText(t *testing.T) {
 	w := savedWorld(t)
-	w.texts.note(first("gang"), "one")
+	w.checkpoints.note(first("gang"), "one")
 	after := quick(10)
 	after.After = []int{0}
 	w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"one"],["",1,"",0,"one"]]}`, savingGang(2), after)
@@ -175,7 +175,7 @@
 		w.turnWithout(cottonlanding.TaskRef{Workflow: "gang", Index: 1})
 	}
 	require.Greater(t, w.runner.Starts(), 1, "the step after the gang has begun")
-	require.Empty(t, w.texts.faults)
+	require.Empty(t, w.checkpoints.faults)
 }
 
 // The same with a change of owner before the repeat: the row held the newest text alone, so
@@ -197,7 +197,7 @@
 				require.NoError(t, w.runner.Stop(t.Context(), cottonlanding.WorkerRef{Life: cottonlanding.Life{Worker: "w1"}}, run, w.epoch))
 				w.turnWithout(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
 			}
-			w.cell.Touch("slow")
+			w.cell.MarkDirty("slow")
 			w.commit()
 			requireRepeated(t, w, 2)
 		})
@@ -212,7 +212,7 @@
 	after.After = []int{0}
 	w.submitSaved("gang", savingGang(2), after)
 	ended := cottonlanding.TaskRef{Workflow: "gang", Index: 1}
-	for len(w.texts.listed[ended]) == 0 || w.runner.Runs(ended) {
+	for len(w.checkpoints.listed[ended]) == 0 || w.runner.Runs(ended) {
 		w.turn(turnSpan)
 	}
 	w.turn(turnSpan)
@@ -227,7 +227,7 @@
 // the next one.
 func TestNextOwnerBringsNoTextToTheRunThatMadeIt(t *testing.T) {
 	w := bornWorld(t)
-	w.texts = newTextBook()
+	w.checkpoints = newTextBook()
 	w.submitSaved("slow", saving(1))
 	w.play(2 * cottonlanding.Second)
 	w.touchAll()
@@ -236,9 +236,9 @@
 	}
 	w.takeOver()
 	w.play(2 * cottonlanding.Second)
-	require.Empty(t, w.texts.faults)
-	require.Empty(t, w.texts.brought[cottonlanding.RunKey{Task: first("slow"), Number: 1}])
-	require.NotEmpty(t, w.texts.brought[cottonlanding.RunKey{Task: first("slow"), Number: 2}])
+	require.Empty(t, w.checkpoints.faults)
+	require.Empty(t, w.checkpoints.brought[cottonlanding.RunKey{Task: first("slow"), Number: 1}])
+	require.NotEmpty(t, w.checkpoints.brought[cottonlanding.RunKey{Task: first("slow"), Number: 2}])
 }
 
 // The same where workers tell no births: nothing tells the two lives apart then, and the start is
@@ -254,6 +254,6 @@
 	}
 	w.takeOver()
 	w.play(2 * cottonlanding.Second)
-	require.Empty(t, w.texts.faults)
-	require.Empty(t, w.texts.brought[cottonlanding.RunKey{Task: first("slow"), Number: 1}])
+	require.Empty(t, w.checkpoints.faults)
+	require.Empty(t, w.checkpoints.brought[cottonlanding.RunKey{Task: first("slow"), Number: 1}])
 }
--- a/internal/workflow/planner/checkpointfaults_test.go
+++ b/internal/workflow/planner/checkpointfaults_test.go
@@ -17,9 +17,9 @@
 func TestTextsAmongFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := bornWorld(t)
-		w.texts = newTextBook()
-		w.timing.LongestLease = w.timing.Lease + 4*cottonlanding.Second
-		w.runner.CutLeases(w.timing.LongestLease)
+		w.checkpoints = newTextBook()
+		w.timing.MaxLease = w.timing.Lease + 4*cottonlanding.Second
+		w.runner.CutLeases(w.timing.MaxLease)
 		w.takeOver()
 		submitted := 0
 		worker := func() int { return rapid.IntRange(0, len(w.workers)-1).Draw(t, "Worker") }
@@ -29,7 +29,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(t *rapid.T) {
 				submitted++
-				id := cottonlanding.WorkflowID(fmt.Sprintf("%s%d", againPrefix, submitted))
+				id := cottonlanding.WorkflowID(fmt.Sprintf("%s%d", failOncePrefix, submitted))
 				rounds := rapid.IntRange(0, 3).Draw(t, "Rounds")
 				w.submitRounds(id, rounds, drawSteps(t)...)
 			},
@@ -37,7 +37,7 @@
 			"wait":   func(t *rapid.T) { w.now += cottonlanding.Millis(rapid.IntRange(10, 600).Draw(t, "Wait")) },
 			"commit": func(*rapid.T) { w.commit() },
 			"orders": func(*rapid.T) { w.orders(fault) },
-			"looks":  func(*rapid.T) { w.lookAll() },
+			"looks":  func(*rapid.T) { w.pollAll() },
 			"rebirth": func(*rapid.T) {
 				w.rebirth(worker())
 				w.dropStale()
@@ -49,7 +49,7 @@
 				w.takeOver()
 			},
 			"commit unanswered": func(*rapid.T) {
-				if w.begin(); w.plan != nil {
+				if w.makePlan(); w.plan != nil {
 					w.apply()
 					w.takeOver()
 				}
@@ -60,10 +60,10 @@
 					w.late = w.late[1:]
 				}
 			},
-			"": func(t *rapid.T) { require.Empty(t, w.texts.faults) },
+			"": func(t *rapid.T) { require.Empty(t, w.checkpoints.faults) },
 		})
 		w.settle()
-		require.Empty(t, w.texts.faults)
+		require.Empty(t, w.checkpoints.faults)
 	})
 }
 
--- a/internal/workflow/planner/checkpointsearch_test.go
+++ b/internal/workflow/planner/checkpointsearch_test.go
@@ -27,7 +27,7 @@
 // newFirstRuns is newSearchWorld with texts, and with tasks of which each fails once.
 func newFirstRuns(t require.TestingT) *searchWorld {
 	s := newSearchWorld(t)
-	s.texts = newTextBook()
+	s.checkpoints = newTextBook()
 	s.submitSaved("again", saving(1), savingGang(2), quick(1))
 	return s
 }
@@ -37,8 +37,8 @@
 	s := newFirstRuns(t)
 	s.turn(turnSpan)
 	s.turn(turnSpan)
-	s.now += 2 * againLasts
-	s.lookAll()
+	s.now += 2 * failOnceDuration
+	s.pollAll()
 	return s
 }
 
--- a/internal/workflow/planner/crash_test.go
+++ b/internal/workflow/planner/crash_test.go
@@ -30,9 +30,9 @@
 }
 
 func newCrashes(w *world, culprits ...cottonlanding.TaskRef) *crashes {
-	w.culprits, w.crashAfter = make(map[cottonlanding.TaskRef]bool), promptCrash
+	w.faultyTasks, w.crashAfter = make(map[cottonlanding.TaskRef]bool), promptCrash
 	for _, culprit := range culprits {
-		w.culprits[culprit] = true
+		w.faultyTasks[culprit] = true
 	}
 	return &crashes{world: w, gone: make(map[cottonlanding.WorkerID]cottonlanding.Millis), back: make(map[cottonlanding.WorkerID]bool)}
 }
@@ -152,8 +152,8 @@
 		starts[0].SentAt = w.now
 		w.now++
 		between(w, starts[0])
-		w.cell.Ordered(starts[0], 0, cottonlanding.ErrOtherLife, w.now)
-		require.Zero(t, w.cell.Counts().Convicted)
+		w.cell.OrderAnswered(starts[0], 0, cottonlanding.ErrOtherLife, w.now)
+		require.Zero(t, w.cell.Counts().FailedByCrashes)
 	}
 	w.play(3 * cottonlanding.Second)
 	w.requireState("innocent", cottonlanding.WorkflowSucceeded)
--- a/internal/workflow/planner/delegation.go
+++ b/internal/workflow/planner/delegation.go
@@ -135,8 +135,8 @@
 // are more, others the next time. Workflows of which nothing was placed are left out where they can be handed over whole.
 func (c *Cell) Delegables(most int, home func(cottonlanding.WorkflowID) bool, now cottonlanding.Millis) []Delegable {
 	var interrupted, others []*task
-	for _, j := range c.order {
-		if !j.lasts || !j.placed && home(j.ID) || !c.mayDelegate(j) {
+	for _, j := range c.openJobs {
+		if !j.hasLasting || !j.placed && home(j.ID) || !c.mayDelegate(j) {
 			continue
 		}
 		j.eachTask(func(t *task) {
@@ -149,8 +149,8 @@
 			}
 		})
 	}
-	chosen := c.interruptedTurns.take(interrupted, most)
-	chosen = append(chosen, c.delegableTurns.take(others, most-len(chosen))...)
+	chosen := c.interruptedCursor.take(interrupted, most)
+	chosen = append(chosen, c.delegableCursor.take(others, most-len(chosen))...)
 	var out []Delegable
 	for _, t := range chosen {
 		out = append(out, Delegable{Ref: t.ref, Service: t.job.queue.Service, Need: t.stage.Reserved(), Avoid: t.avoided(now)})
@@ -178,13 +178,13 @@
 		return false // it is to run down
 	}
 	ends := j.state.Final() || j.Schedule.Rounds > 0 || j.isGuest()
-	return !ends && j.committed && stateFits(j.Workflow, widestLife)
+	return !ends && j.persisted && stateFits(j.Workflow, widestLife)
 }
 
 // delegable reports whether the task waits without room for long enough.
 func (t *task) delegable(now cottonlanding.Millis) bool {
 	single := t.stage.Lasting && !t.stage.Fills && !t.stage.Gang
-	return single && t.stage.ready && t.state == taskWaiting && now-max(t.since, t.returnedAt) >= delegateAfter
+	return single && t.stage.ready && t.state == taskWaiting && now-max(t.waitingSince, t.returnedAt) >= delegateAfter
 }
 
 // avoided returns the cells that have returned the task lately.
@@ -207,22 +207,22 @@
 		return
 	}
 	t.setAway(state)
-	t.awayCommitted = false
-	c.away[t.job.ID] = t.job
-	c.touch(t.job)
+	t.delegationCommitted = false
+	c.remote[t.job.ID] = t.job
+	c.markDirty(t.job)
 	c.reportedAt = 0
 	c.counts.Delegated++
-	c.log.Info("task delegated", "Task", ref.String(), "Run", t.number, "To", to, "Waited", now-t.since, "CPU", int64(t.stage.Reserved().CPU))
+	c.log.Info("task delegated", "Task", ref.String(), "Run", t.number, "To", to, "Waited", now-t.waitingSince, "CPU", int64(t.stage.Reserved().CPU))
 }
 
 // Delegating reports whether other cells may run tasks of this one.
-func (c *Cell) Delegating() bool { return len(c.away) > 0 }
+func (c *Cell) Delegating() bool { return len(c.remote) > 0 }
 
 // TakeGuestNews reports whether a delegation, or the end of a workflow with such, was committed since it was last called:
 // what guest cells are to be told at once.
 func (c *Cell) TakeGuestNews() bool {
-	news := c.guestNews
-	c.guestNews = false
+	news := c.delegationChanged
+	c.delegationChanged = false
 	return news
 }
 
@@ -230,13 +230,13 @@
 // the end of a workflow is told before it is committed.
 func (c *Cell) Delegations() map[cottonlanding.CellNumber][]DelegatedWorkflow {
 	out := make(map[cottonlanding.CellNumber][]DelegatedWorkflow)
-	for _, id := range slices.Sorted(maps.Keys(c.away)) {
-		j := c.away[id]
-		if j.state.Final() && !j.shown.Final() {
+	for _, id := range slices.Sorted(maps.Keys(c.remote)) {
+		j := c.remote[id]
+		if j.state.Final() && !j.committedState.Final() {
 			continue
 		}
 		for cell, tasks := range j.delegated() {
-			out[cell] = append(out[cell], DelegatedWorkflow{Workflow: j.Workflow, Queue: j.queue, Over: j.shown.Final(), Tasks: tasks})
+			out[cell] = append(out[cell], DelegatedWorkflow{Workflow: j.Workflow, Queue: j.queue, Over: j.committedState.Final(), Tasks: tasks})
 		}
 	}
 	return out
@@ -246,7 +246,7 @@
 func (j *job) delegated() map[cottonlanding.CellNumber][]DelegatedTask {
 	out := make(map[cottonlanding.CellNumber][]DelegatedTask)
 	j.eachTask(func(t *task) {
-		if cell, found := t.guestCell(); found && t.awayCommitted {
+		if cell, found := t.guestCell(); found && t.delegationCommitted {
 			out[cell] = append(out[cell], DelegatedTask{Ref: t.ref, Number: t.number, Crashes: t.crashes, Checkpoint: t.checkpoint.text})
 		}
 	})
@@ -261,7 +261,7 @@
 		away = away || found
 	})
 	if !away {
-		delete(c.away, j.ID)
+		delete(c.remote, j.ID)
 	}
 }
 
@@ -291,7 +291,7 @@
 	j.eachTask(func(t *task) {
 		if at, found := t.guestCell(); found && at == cell {
 			t.setAway(taskWaiting)
-			c.touch(j)
+			c.markDirty(j)
 		}
 	})
 	c.recordBack(j)
@@ -307,7 +307,7 @@
 		return // an answer that was overtaken
 	}
 	if told.Running {
-		t.seenAt = now
+		t.lastRunningAt = now
 		c.recordDelegateRuns(j)
 		c.recordRunsElsewhere(t, told.Number, from, now)
 	}
@@ -320,11 +320,11 @@
 	if t.returnedBy == nil {
 		t.returnedBy = make(map[cottonlanding.CellNumber]cottonlanding.Millis)
 	}
-	t.returnedBy[from], t.returnedAt, t.since = now, now, now-told.Waited
+	t.returnedBy[from], t.returnedAt, t.waitingSince = now, now, now-told.Waited
 	c.recordReturned(t, from, now)
-	c.touch(j)
+	c.markDirty(j)
 	c.recordBack(j)
-	c.log.Info("delegated task returned", "Task", t.ref.String(), "Run", t.number, "From", from, "Waited", now-t.since)
+	c.log.Info("delegated task returned", "Task", t.ref.String(), "Run", t.number, "From", from, "Waited", now-t.waitingSince)
 }
 
 // takeCheckpoint takes over the newest text of a task that passes from one cell to another.
@@ -344,5 +344,5 @@
 	if j.state == cottonlanding.WorkflowPending {
 		j.state = cottonlanding.WorkflowRunning
 	}
-	c.touch(j)
+	c.markDirty(j)
 }
--- a/internal/workflow/planner/delegation_test.go
+++ b/internal/workflow/planner/delegation_test.go
@@ -89,7 +89,7 @@
 					n.cells[sent.keeper].cell.Reported(cottonlanding.CellNumber(sent.from), sent.answer, n.cells[sent.keeper].now)
 				}
 			},
-			"begin":  func(t *rapid.T) { n.cells[cellOf(t)].begin() },
+			"begin":  func(t *rapid.T) { n.cells[cellOf(t)].makePlan() },
 			"commit": func(t *rapid.T) { n.cells[cellOf(t)].commit() },
 			"commitUnanswered": func(t *rapid.T) {
 				cell := cellOf(t)
@@ -100,7 +100,7 @@
 			},
 			"takeOver": func(t *rapid.T) { n.takeOver(cellOf(t)) },
 			"orders":   func(t *rapid.T) { n.cells[cellOf(t)].orders(orderFault) },
-			"looks":    func(t *rapid.T) { n.cells[cellOf(t)].lookAll() },
+			"looks":    func(t *rapid.T) { n.cells[cellOf(t)].pollAll() },
 			"crash": func(t *rapid.T) {
 				w := n.cells[cellOf(t)]
 				at := rapid.IntRange(0, len(w.workers)-1).Draw(t, "Worker")
@@ -282,7 +282,7 @@
 	n.cells[1].now += cottonlanding.Second
 	question.Last = n.answerOf(question).Stamp
 	n.answerOf(question)
-	n.cells[1].begin() // with the return
+	n.cells[1].makePlan() // with the return
 	for _, report := range n.answerOf(question).Reports {
 		require.Empty(t, report.Tasks)
 	}
--- a/internal/workflow/planner/twice_test.go
+++ b/internal/workflow/planner/doublestart_test.go
@@ -17,39 +17,39 @@
 // users' rule on second starts.
 const recordGrace = cottonlanding.Second
 
-// begun is a start that a worker took.
-type begun struct {
+// runStart is a start that a worker took.
+type runStart struct {
 	number cottonlanding.RunNumber
 	at     cottonlanding.Millis
 }
 
-// doneEnd is an end that a worker listed and nobody has told it to forget.
-type doneEnd struct {
+// listedEnd is an end that a worker listed and nobody has told it to forget.
+type listedEnd struct {
 	key cottonlanding.RunKey
 	at  cottonlanding.Millis
 }
 
-// watch judges what passes between owners and workers: no task may be started again
+// startChecker judges what passes between owners and workers: no task may be started again
 // whose end was taken note of. The note of an end doesn't count when the worker's
 // lease ran out between the two.
-type watch struct {
-	w          *world
-	starts     map[cottonlanding.TaskRef][]begun
-	leases     map[cottonlanding.WorkerID]cottonlanding.Millis
-	lapses     map[cottonlanding.WorkerID][]cottonlanding.Millis
-	listed     map[cottonlanding.WorkerID]map[uint64]doneEnd
-	noted      map[cottonlanding.TaskRef]begun
-	violations []string
+type startChecker struct {
+	w            *world
+	starts       map[cottonlanding.TaskRef][]runStart
+	leases       map[cottonlanding.WorkerID]cottonlanding.Millis
+	lapses       map[cottonlanding.WorkerID][]cottonlanding.Millis
+	listed       map[cottonlanding.WorkerID]map[uint64]listedEnd
+	recordedEnds map[cottonlanding.TaskRef]runStart
+	violations   []string
 }
 
-func newWatch(w *world) *watch {
-	return &watch{
-		w:      w,
-		starts: make(map[cottonlanding.TaskRef][]begun),
-		leases: make(map[cottonlanding.WorkerID]cottonlanding.Millis),
-		lapses: make(map[cottonlanding.WorkerID][]cottonlanding.Millis),
-		listed: make(map[cottonlanding.WorkerID]map[uint64]doneEnd),
-		noted:  make(map[cottonlanding.TaskRef]begun),
+func newStartChecker(w *world) *startChecker {
+	return &startChecker{
+		w:            w,
+		starts:       make(map[cottonlanding.TaskRef][]runStart),
+		leases:       make(map[cottonlanding.WorkerID]cottonlanding.Millis),
+		lapses:       make(map[cottonlanding.WorkerID][]cottonlanding.Millis),
+		listed:       make(map[cottonlanding.WorkerID]map[uint64]listedEnd),
+		recordedEnds: make(map[cottonlanding.TaskRef]runStart),
 	}
 }
 
@@ -60,8 +60,8 @@
 	return cottonlanding.Millis(10_000 * number)
 }
 
-// grant takes in a lease that reached a worker, on the worker's clock.
-func (s *watch) grant(id cottonlanding.WorkerID, until cottonlanding.Reading) {
+// recordLease takes in a lease that reached a worker, on the worker's clock.
+func (s *startChecker) recordLease(id cottonlanding.WorkerID, until cottonlanding.Reading) {
 	lease := cottonlanding.Millis(until) - offset(id)
 	if had := s.leases[id]; had > 0 && had <= s.w.now {
 		s.lapses[id] = append(s.lapses[id], had)
@@ -70,7 +70,7 @@
 	s.leases[id] = max(s.leases[id], lease)
 }
 
-func (s *watch) lapsedBetween(id cottonlanding.WorkerID, from cottonlanding.Millis) bool {
+func (s *startChecker) lapsedBetween(id cottonlanding.WorkerID, from cottonlanding.Millis) bool {
 	if lease := s.leases[id]; lease > 0 && lease <= s.w.now && lease >= from {
 		return true
 	}
@@ -78,35 +78,35 @@
 }
 
 // start sends a start to the worker and judges it, if it had an effect.
-func (s *watch) start(order planner.Order) (cottonlanding.Reading, error) {
+func (s *startChecker) start(order planner.Order) (cottonlanding.Reading, error) {
 	before := s.w.runner.Starts()
 	reading, err := s.w.runner.Start(context.Background(), order.Worker, order.Start)
 	if err == nil {
-		s.grant(order.Worker.Life.Worker, order.Start.LeaseUntil)
+		s.recordLease(order.Worker.Life.Worker, order.Start.LeaseUntil)
 	}
 	if s.w.runner.Starts() == before {
 		return reading, err
 	}
 	task := order.Start.Task
-	s.starts[task] = append(s.starts[task], begun{order.Start.Number, s.w.now})
-	if note, found := s.noted[task]; found && s.w.now > note.at+recordGrace {
+	s.starts[task] = append(s.starts[task], runStart{order.Start.Number, s.w.now})
+	if note, found := s.recordedEnds[task]; found && s.w.now > note.at+recordGrace {
 		s.violations = append(s.violations, fmt.Sprintf("run %d of %s starts at %s; the end of run %d was noted at %s",
 			order.Start.Number, task, s.w.now, note.number, note.at))
 	}
 	return reading, err
 }
 
-// look asks the worker and judges what it is told to forget.
-func (s *watch) look(id cottonlanding.WorkerID, answered bool) {
+// poll asks the worker and judges what it is told to forget.
+func (s *startChecker) poll(id cottonlanding.WorkerID, answered bool) {
 	next, found := s.w.cell.NextLook(id, s.w.now)
 	if !found || next.After > 0 {
 		return
 	}
 	report, err := s.w.runner.Look(context.Background(), next.Worker, next.Look)
 	if err == nil {
-		s.take(id, report)
-		s.forget(id, next.Look.Seen)
-		s.grant(id, next.Look.LeaseUntil)
+		s.recordListed(id, report)
+		s.recordForgotten(id, next.Look.Seen)
+		s.recordLease(id, next.Look.LeaseUntil)
 	}
 	if err == nil && !answered {
 		err = cottonlanding.ErrAmbiguous
@@ -118,9 +118,9 @@
 	s.w.cell.Looked(next, report, s.w.now, s.w.now)
 }
 
-func (s *watch) take(id cottonlanding.WorkerID, report cottonlanding.RunReport) {
+func (s *startChecker) recordListed(id cottonlanding.WorkerID, report cottonlanding.RunReport) {
 	if s.listed[id] == nil {
-		s.listed[id] = make(map[uint64]doneEnd)
+		s.listed[id] = make(map[uint64]listedEnd)
 	}
 	for _, end := range report.Ended {
 		if _, known := s.listed[id][end.Serial]; known || end.Kind != cottonlanding.EndDone {
@@ -132,11 +132,11 @@
 				at = start.at + cottonlanding.Millis(200+170*end.Task.Index)
 			}
 		}
-		s.listed[id][end.Serial] = doneEnd{end.RunKey, at}
+		s.listed[id][end.Serial] = listedEnd{end.RunKey, at}
 	}
 }
 
-func (s *watch) forget(id cottonlanding.WorkerID, seen uint64) {
+func (s *startChecker) recordForgotten(id cottonlanding.WorkerID, seen uint64) {
 	for serial, end := range s.listed[id] {
 		if serial > seen {
 			continue
@@ -145,7 +145,7 @@
 		if s.lapsedBetween(id, end.at) {
 			continue
 		}
-		s.noted[end.key.Task] = begun{end.key.Number, s.w.now}
+		s.recordedEnds[end.key.Task] = runStart{end.key.Number, s.w.now}
 		for _, start := range s.starts[end.key.Task] {
 			if start.number > end.key.Number {
 				s.violations = append(s.violations, fmt.Sprintf("run %d of %s started at %s; run %d had ended at %s, which is noted at %s",
@@ -156,7 +156,7 @@
 }
 
 // orders is world's, with starts judged.
-func (s *watch) orders(fault func() string) {
+func (s *startChecker) orders(fault func() string) {
 	for _, order := range s.w.cell.Orders(s.w.now) {
 		var reading cottonlanding.Reading
 		err := error(cottonlanding.ErrAmbiguous)
@@ -173,25 +173,25 @@
 		default:
 			reading, err = s.send(order)
 		}
-		s.w.cell.Ordered(order, reading, err, s.w.now)
+		s.w.cell.OrderAnswered(order, reading, err, s.w.now)
 	}
 }
 
-func (s *watch) send(order planner.Order) (cottonlanding.Reading, error) {
+func (s *startChecker) send(order planner.Order) (cottonlanding.Reading, error) {
 	if order.Verb == planner.VerbStart {
 		return s.start(order)
 	}
 	return s.w.send(order)
 }
 
-// TestNotedEndsStand plays workers that refuse, fall silent, leave the list while
+// TestRecordedEndsAreFinal plays workers that refuse, fall silent, leave the list while
 // they work on, come back, end and are replaced, and owners that follow each other,
 // with more changes than one transaction takes. A task whose good end was taken note
 // of must not have been started again, nor be started later.
-func TestNotedEndsStand(t *testing.T) {
+func TestRecordedEndsAreFinal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		s := newWatch(w)
+		s := newStartChecker(w)
 		submitted := 0
 		var unlisted []cottonlanding.WorkerInfo
 		tell := func() { w.cell.SetWorkers(slices.Clone(w.workers), w.now) }
@@ -214,10 +214,10 @@
 				}
 			},
 			"wait":   func(t *rapid.T) { w.now += cottonlanding.Millis(rapid.IntRange(10, 2500).Draw(t, "Wait")) },
-			"begin":  func(*rapid.T) { w.begin() },
+			"begin":  func(*rapid.T) { w.makePlan() },
 			"commit": func(*rapid.T) { w.commit() },
 			"commitUnanswered": func(*rapid.T) {
-				if w.begin(); w.plan != nil {
+				if w.makePlan(); w.plan != nil {
 					w.apply()
 					w.takeOver()
 				}
@@ -237,14 +237,14 @@
 				}
 			},
 			"look": func(t *rapid.T) {
-				s.look(w.workers[draw(w.workers)].ID, rapid.IntRange(0, 3).Draw(t, "Answered") > 0)
+				s.poll(w.workers[draw(w.workers)].ID, rapid.IntRange(0, 3).Draw(t, "Answered") > 0)
 			},
 			"turn": func(t *rapid.T) {
 				w.now += 50
 				w.commit()
 				s.orders(func() string { return "" })
 				for _, worker := range w.workers {
-					s.look(worker.ID, true)
+					s.poll(worker.ID, true)
 				}
 			},
 			"dark": func(t *rapid.T) {
@@ -267,7 +267,7 @@
 			},
 			"lookUnlisted": func(*rapid.T) {
 				if len(unlisted) > 0 {
-					s.look(unlisted[draw(unlisted)].ID, true)
+					s.poll(unlisted[draw(unlisted)].ID, true)
 				}
 			},
 			"relist": func(*rapid.T) {
@@ -295,7 +295,7 @@
 	})
 }
 
-// TestOneLostAnswerIsNoSilence checks that an owner which comes long after its
+// TestLateOwnerToleratesLostAnswer checks that an owner which comes long after its
 // predecessor doesn't take a worker's runs for lapsed because one answer didn't
 // reach it in time: the worker has listed the good ends in that answer, which the
 // users' rules count as taking note of them, and nothing may be started again.
@@ -304,7 +304,7 @@
 // answered. An owner that has just read all rows asks hundreds of workers at once,
 // and with a small share of a processor or a slow link it hears none of them within
 // a look's time.
-func TestOneLostAnswerIsNoSilence(t *testing.T) {
+func TestLateOwnerToleratesLostAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		for range 4 {
@@ -321,13 +321,13 @@
 		w.decide(50)
 		unheard := rapid.IntRange(0, len(w.workers)-1).Draw(t, "Unheard")
 		for at, worker := range w.workers {
-			w.look(worker.ID, at != unheard)
+			w.poll(worker.ID, at != unheard)
 		}
 		for range rapid.IntRange(1, 5).Draw(t, "Turns") {
 			w.decide(50)
 		}
 		w.now += 300 // the pause after a look that failed
-		w.lookAll()
+		w.pollAll()
 		w.settle()
 		require.Equal(t, tasks, w.runner.Starts(), "a task whose good end was listed was started again")
 	})
--- a/internal/workflow/planner/doubt_test.go
+++ b/internal/workflow/planner/doubt_test.go
@@ -16,7 +16,7 @@
 	w := bornWorld(t)
 	earlier := w.workers[0]
 	w.rebirth(0)
-	w.lookAll() // the answer comes before the entry
+	w.pollAll() // the answer comes before the entry
 	present := w.workers[0]
 	w.workers[0] = earlier
 	w.relist()
@@ -82,7 +82,7 @@
 		order.SentAt = w.now
 		reading, err := w.send(order)
 		require.NoError(t, err)
-		w.cell.Ordered(order, reading+1, err, w.now)
+		w.cell.OrderAnswered(order, reading+1, err, w.now)
 	}
 	w.cell.Looked(next, report, w.now, w.now)
 	require.Zero(t, w.cell.Counts().Lost)
@@ -125,7 +125,7 @@
 		if next.Look.Seen > 0 {
 			told = append(told, next.Look.Seen)
 		}
-		w.lookAll()
+		w.pollAll()
 	}
 	require.Equal(t, []uint64{1}, told)
 }
@@ -145,7 +145,7 @@
 	}
 	next, _ := w.cell.NextLook("w1", w.now)
 	require.Positive(t, next.Look.LeaseUntil, "no doubt while the clock goes on")
-	w.look("w1", true) // lists the end of the short one
+	w.poll("w1", true) // lists the end of the short one
 	w.commit()
 	w.rebirth(0)
 	w.submit("after", "Urgent", only("w1", 1))
@@ -173,7 +173,7 @@
 		for at := range w.workers {
 			w.rebirth(at)
 		}
-		w.lookAll()
+		w.pollAll()
 		w.relist()
 		w.play(3 * cottonlanding.Second)
 	}
--- a/internal/workflow/planner/down.go
+++ b/internal/workflow/planner/down.go
@@ -32,16 +32,16 @@
 // recordAtWork notes that the run was at work at an instant.
 func (r *run) recordAtWork(now cottonlanding.Millis) {
 	if t := r.task; t != nil && t.run == r {
-		t.seenAt, t.leftUnheard = now, 0
+		t.lastRunningAt, t.abandonedStarts = now, 0
 	}
 }
 
 // downSince returns when the task was last known to run or, if it never did, when it began to wait.
 func (t *task) downSince() cottonlanding.Millis {
-	if t.seenAt > 0 {
-		return t.seenAt
+	if t.lastRunningAt > 0 {
+		return t.lastRunningAt
 	}
-	return t.since
+	return t.waitingSince
 }
 
 // mustRunAgain reports whether a lasting task that has run may not be kept waiting for the sake of others any more.
@@ -53,8 +53,8 @@
 // another worker has room. The task is placed there once the run is ruled out.
 func (c *Cell) leaveUnheard(now cottonlanding.Millis) {
 	var unheard []*task
-	for _, j := range c.order {
-		if !j.lasts {
+	for _, j := range c.openJobs {
+		if !j.hasLasting {
 			continue
 		}
 		j.eachTask(func(t *task) {
@@ -63,9 +63,9 @@
 			}
 		})
 	}
-	for _, t := range c.unheardTurns.take(unheard, mostUnheard) {
+	for _, t := range c.unheardCursor.take(unheard, mostUnheard) {
 		if c.hasOtherPlace(t, now) {
-			t.leftUnheard++
+			t.abandonedStarts++
 			t.failedOn = append(t.failedOn, t.run.worker.life())
 			c.stop(t.run, "its worker has not told of the start", now)
 		}
@@ -74,10 +74,10 @@
 
 // unheardPatience returns how long the task stays with a worker that doesn't tell of its start.
 func (t *task) unheardPatience(now cottonlanding.Millis) cottonlanding.Millis {
-	if t.leftUnheard == 0 && t.mustRunAgain(now) {
+	if t.abandonedStarts == 0 && t.mustRunAgain(now) {
 		return lastStartPatience
 	}
-	return startPatience << min(t.leftUnheard, mostLongerPatience)
+	return startPatience << min(t.abandonedStarts, mostLongerPatience)
 }
 
 // unheard reports whether the worker of a lasting task has answered a look since the task was first started there, and has
--- a/internal/workflow/planner/downrow.go
+++ b/internal/workflow/planner/downrow.go
@@ -38,8 +38,8 @@
 	if c.bounds.clock == nil {
 		return d.wanted
 	}
-	for _, j := range c.order {
-		if !j.lasts {
+	for _, j := range c.openJobs {
+		if !j.hasLasting {
 			continue
 		}
 		j.eachTask(func(t *task) {
@@ -61,7 +61,7 @@
 func (c *Cell) inheritSilence(w *worker, since cottonlanding.Millis) {
 	for _, r := range w.runs.all() {
 		if t := r.task; t != nil && t.run == r && t.stage.Lasting && since < t.downSince() {
-			t.seenAt = max(1, since)
+			t.lastRunningAt = max(1, since)
 		}
 	}
 }
@@ -93,6 +93,6 @@
 			continue
 		}
 		span := max(0, cottonlanding.Millis(c.bounds.clock.Latest(now)-shown))
-		t.seenAt = max(1, now-span)
+		t.lastRunningAt = max(1, now-span)
 	}
 }
--- a/internal/workflow/planner/downspans.go
+++ b/internal/workflow/planner/downspans.go
@@ -38,7 +38,7 @@
 func waitChains(timing Timing, call, turn cottonlanding.Millis) []waitChain {
 	lost := stretched(timing.Lease) + turn
 	stopped := busyWait + turn // a stop was answered, and the next look shows that the run is ruled out
-	secondStart := call + orderPause
+	secondStart := call + orderRetryInterval
 	lastStart := max(lost+lastStartPatience, min(lost+startPatience, mostHeldBack))
 	delegated := delegateAfter + 3*turn
 	return []waitChain{
@@ -49,7 +49,7 @@
 		{"placed on a worker that falls silent before the start", turn + busyWait + call + turn},
 		{"starts without an answer", turn + startPatience + stopped},
 		{"starts and stops without an answer", turn + secondStart + stretched(timing.Lease) + cottonlanding.Millis(readingSlack) + stopped},
-		{"starts that are late", turn + (mostLateStarts+1)*(orderPause+turn)},
+		{"starts that are late", turn + (maxLateStarts+1)*(orderRetryInterval+turn)},
 		{"delegated, returned and delegated again", turn + 2*delegated + returnAfter + turn},
 	}
 }
--- a/internal/workflow/planner/downtime.go
+++ b/internal/workflow/planner/downtime.go
@@ -109,14 +109,14 @@
 func (c *Cell) recordGuestDown(t *task, now cottonlanding.Millis) {
 	if t.stage.Lasting && t.number > 0 {
 		c.beginDowntime(t, 0, now)
-		c.tellDown(t, inCell("Keeper", *t.job.guestOf), "Delegated", "", now)
+		c.tellDown(t, inCell("Keeper", *t.job.delegatedBy), "Delegated", "", now)
 	}
 }
 
 // recordReturned takes in that another cell has no run of a task any more, and since when.
 func (c *Cell) recordReturned(t *task, from cottonlanding.CellNumber, now cottonlanding.Millis) {
 	if t.downtime == nil {
-		c.beginDowntime(t, t.since, now)
+		c.beginDowntime(t, t.waitingSince, now)
 		c.tellDown(t, inCell("GuestCell", from), "Returned", "", now)
 	}
 }
--- a/internal/workflow/planner/due.go
+++ b/internal/workflow/planner/due.go
@@ -33,27 +33,27 @@
 
 // reckonDues works out anew what is due.
 func (c *Cell) reckonDues(now cottonlanding.Millis) {
-	c.due = dues{}
-	for _, j := range c.order {
-		if j.lasts {
+	c.reserved = dues{}
+	for _, j := range c.openJobs {
+		if j.hasLasting {
 			j.eachTask(c.recordDue)
 		}
 	}
-	if len(c.due.tasks) == 0 {
+	if len(c.reserved.tasks) == 0 {
 		return
 	}
-	c.due.rooms = make(map[cottonlanding.ServiceName]lastingRoom)
+	c.reserved.rooms = make(map[cottonlanding.ServiceName]lastingRoom)
 	for _, w := range c.sortedWorkers() {
 		if w.usable(now) {
-			room := c.due.rooms[w.info.Service]
-			c.due.rooms[w.info.Service] = lastingRoom{room.left.Plus(w.passing()), room.capacity.Plus(w.info.Capacity)}
+			room := c.reserved.rooms[w.info.Service]
+			c.reserved.rooms[w.info.Service] = lastingRoom{room.left.Plus(w.passing()), room.capacity.Plus(w.info.Capacity)}
 		}
 	}
 }
 
 func (c *Cell) recordDue(t *task) {
 	if t.awaitsRun() {
-		c.due.tasks = append(c.due.tasks, t)
+		c.reserved.tasks = append(c.reserved.tasks, t)
 	}
 }
 
@@ -74,7 +74,7 @@
 
 // yieldsInStep reports whether room may be due to another task of a newcomer's step.
 func (c *Cell) yieldsInStep(t *task) bool {
-	return t.isNewcomer() && slices.ContainsFunc(c.due.tasks, func(other *task) bool {
+	return t.isNewcomer() && slices.ContainsFunc(c.reserved.tasks, func(other *task) bool {
 		return other.stage == t.stage && other.awaitsRun()
 	})
 }
@@ -82,11 +82,11 @@
 // isDue reports whether the room that a task would take on a worker is due to others: little is
 // left for all of them, and one of them could use it, now or once short tasks end there.
 func (c *Cell) isDue(t *task, w *worker, now cottonlanding.Millis) bool {
-	if len(c.due.tasks) == 0 || !t.isNewcomer() || !c.due.tight(t) {
+	if len(c.reserved.tasks) == 0 || !t.isNewcomer() || !c.reserved.tight(t) {
 		return false
 	}
 	left := w.passing()
-	return slices.ContainsFunc(c.due.tasks, func(other *task) bool {
+	return slices.ContainsFunc(c.reserved.tasks, func(other *task) bool {
 		return other.precedes(t) && other.stage.Reserved().Fits(left) && c.allowed(other, w, now)
 	})
 }
--- a/internal/workflow/planner/evacuate.go
+++ b/internal/workflow/planner/evacuate.go
@@ -32,9 +32,9 @@
 			moved = append(moved, w)
 		}
 	}
-	starts := c.counts.TakenBack
+	starts := c.counts.RevokedStarts
 	c.dropUnsent(now)
-	c.logEvacuated(before, moved, c.counts.TakenBack-starts, now)
+	c.logEvacuated(before, moved, c.counts.RevokedStarts-starts, now)
 }
 
 // sameOrders reports whether two readings tell of the same evacuations.
@@ -102,11 +102,11 @@
 	case r.stopping:
 		return
 	case r.phase < sent:
-		c.vanish(r, now)
+		c.dropRun(r, now)
 	default:
 		c.stop(r, reason, now)
 	}
-	c.counts.TakenBack++
+	c.counts.RevokedStarts++
 }
 
 // logEvacuated logs each data centre that was evacuated or taken back: how many workers it
--- a/internal/workflow/planner/evacuate_test.go
+++ b/internal/workflow/planner/evacuate_test.go
@@ -61,8 +61,8 @@
 		e.waiting = e.waiting[1:]
 		most--
 		order.SentAt = e.now
-		if order.Unwanted() {
-			e.cell.Ordered(order, 0, planner.ErrUnwanted, e.now)
+		if order.Obsolete() {
+			e.cell.OrderAnswered(order, 0, planner.ErrObsoleteStart, e.now)
 			continue
 		}
 		if order.Verb == planner.VerbStart {
@@ -76,7 +76,7 @@
 			e.late = append(e.late, order)
 			reading, err = 0, cottonlanding.ErrAmbiguous
 		}
-		e.cell.Ordered(order, reading, err, e.now)
+		e.cell.OrderAnswered(order, reading, err, e.now)
 	}
 }
 
@@ -85,7 +85,7 @@
 	e.now += turnSpan
 	e.commit()
 	e.give(1000, func() string { return "" })
-	e.lookAll()
+	e.pollAll()
 }
 
 // TestNothingStartsWhereItIsEvacuated plays random evacuations, one or all data centres at
@@ -120,7 +120,7 @@
 					cottonlanding.Step{Tasks: 4, Resources: cottonlanding.Resources{CPU: 2000}, Estimate: 500},
 					cottonlanding.Step{Tasks: 2, Resources: cottonlanding.Resources{CPU: 2000}, Estimate: 500, After: []int{0}})
 			case "begin":
-				e.begin() // its commit comes with the next turn
+				e.makePlan() // its commit comes with the next turn
 			case "takeOver":
 				e.waiting = nil
 				e.takeOver()
@@ -130,7 +130,7 @@
 			e.commit()
 			e.give(rapid.IntRange(0, 12).Draw(t, "Sent"), func() string { return faults.Draw(t, "Fault") })
 			if rapid.Bool().Draw(t, "Look") {
-				e.lookAll()
+				e.pollAll()
 			}
 		}
 		require.Equal(t, 6, e.runner.Lasting(), "lasting tasks go on")
--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -35,7 +35,7 @@
 
 // GuestRowKeys returns the keys of a guest's rows.
 func GuestRowKeys(p cottonlanding.Partition, id cottonlanding.WorkflowID) (spec, state cottonlanding.Key) {
-	guest := &job{Workflow: cottonlanding.Workflow{ID: id}, guestOf: new(cottonlanding.CellNumber)}
+	guest := &job{Workflow: cottonlanding.Workflow{ID: id}, delegatedBy: new(cottonlanding.CellNumber)}
 	return (&Cell{setup: Setup{Partition: p}}).rowKeys(guest)
 }
 
@@ -59,7 +59,7 @@
 	for _, id := range ids {
 		j := c.jobs[id]
 		j.eachTask(func(t *task) {
-			fmt.Fprintln(&out, t.ref, j.state, j.shown, t.state, t.number, t.life, t.crashes, t.openLife, t.run != nil, t.checkpoint.text, t.resumeFrom.text)
+			fmt.Fprintln(&out, t.ref, j.state, j.committedState, t.state, t.number, t.life, t.crashes, t.openLife, t.run != nil, t.checkpoint.text, t.resumeFrom.text)
 		})
 	}
 	fmt.Fprintln(&out, len(c.dirty), c.superseded, len(c.ended))
@@ -75,10 +75,10 @@
 	return out
 }
 
-// Touch has the row of a workflow written with the next plan.
-func (c *Cell) Touch(id cottonlanding.WorkflowID) {
+// MarkDirty has the row of a workflow written with the next plan.
+func (c *Cell) MarkDirty(id cottonlanding.WorkflowID) {
 	if j := c.jobs[id]; j != nil {
-		c.touch(j)
+		c.markDirty(j)
 	}
 }
 
@@ -98,7 +98,7 @@
 }
 
 // OpenLives counts the workers of which the cell waits for news.
-func (c *Cell) OpenLives() int { return len(c.open) }
+func (c *Cell) OpenLives() int { return len(c.openLivesByWorker) }
 
 // DescribeTask tells where a task stands, and what keeps it from each worker.
 func (c *Cell) DescribeTask(ref cottonlanding.TaskRef, now cottonlanding.Millis) string {
@@ -109,7 +109,7 @@
 	t := j.task(ref)
 	var out strings.Builder
 	fmt.Fprintf(&out, "job %s, task state %q, number %d, waits since %d, crashes %v, open life %s, awaits news %t",
-		j.state, t.state, t.number, t.since, t.crashes, t.openLife.String(), t.awaitsNews(now))
+		j.state, t.state, t.number, t.waitingSince, t.crashes, t.openLife.String(), t.awaitsNews(now))
 	if r := t.run; r != nil {
 		w := r.worker
 		fmt.Fprintf(&out, ", run %d on %s born %d: phase %d, doubtful %t, ordered %t, next try %d, sent %d, copies %d, stopping %t (%s), "+
--- a/internal/workflow/planner/faults_test.go
+++ b/internal/workflow/planner/faults_test.go
@@ -46,10 +46,10 @@
 				}
 			},
 			"wait":   func(t *rapid.T) { w.now += cottonlanding.Millis(rapid.IntRange(10, 2500).Draw(t, "Wait")) },
-			"begin":  func(*rapid.T) { w.begin() },
+			"begin":  func(*rapid.T) { w.makePlan() },
 			"commit": func(*rapid.T) { w.commit() },
 			"commitUnanswered": func(*rapid.T) {
-				if w.begin(); w.plan != nil {
+				if w.makePlan(); w.plan != nil {
 					w.apply()
 					w.takeOver()
 				}
@@ -65,7 +65,7 @@
 			},
 			"look": func(t *rapid.T) {
 				at := rapid.IntRange(0, len(w.workers)-1).Draw(t, "Worker")
-				w.look(w.workers[at].ID, rapid.IntRange(0, 3).Draw(t, "Answered") > 0)
+				w.poll(w.workers[at].ID, rapid.IntRange(0, 3).Draw(t, "Answered") > 0)
 			},
 			"crash": func(t *rapid.T) {
 				at := rapid.IntRange(0, len(w.workers)-1).Draw(t, "Worker")
@@ -104,10 +104,10 @@
 	})
 }
 
-// TestLateOwnerAsksBeforeItGivesUp checks that an owner which comes long after its
+// TestLateOwnerPollsBeforeLapse checks that an owner which comes long after its
 // predecessor hears from the workers what ended well meanwhile, before it takes
 // their runs for lapsed and starts the tasks again.
-func TestLateOwnerAsksBeforeItGivesUp(t *testing.T) {
+func TestLateOwnerPollsBeforeLapse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		for range 4 {
@@ -124,7 +124,7 @@
 		for range rapid.IntRange(1, 5).Draw(t, "Turns") {
 			w.decide(50)
 		}
-		w.lookAll()
+		w.pollAll()
 		w.settle()
 		require.Equal(t, tasks, w.runner.Starts(), "a task that was done was started again")
 	})
@@ -160,16 +160,16 @@
 	})
 }
 
-// TestNoStartOnceItsWorkerLeaves checks that a run which was placed, and whose
+// TestStartToLeavingWorkerIsDropped checks that a run which was placed, and whose
 // commit took long, isn't started on a worker that has said meanwhile that it leaves.
-func TestNoStartOnceItsWorkerLeaves(t *testing.T) {
+func TestStartToLeavingWorkerIsDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		for range 4 {
 			w.turn(50)
 		}
 		w.submit("b", "Bulk", cottonlanding.Step{Tasks: 8, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}, Estimate: 500})
-		w.begin() // placed, and its commit is under way
+		w.makePlan() // placed, and its commit is under way
 		for at := range w.workers {
 			w.workers[at].State = cottonlanding.Leaving
 		}
@@ -188,9 +188,9 @@
 	})
 }
 
-// TestUrgentChangesDontHoldBackOthers checks that a change of a less urgent job is
+// TestBulkChangeCommitsAmongUrgentOnes checks that a change of a less urgent job is
 // committed soon although more urgent ones change than one transaction takes.
-func TestUrgentChangesDontHoldBackOthers(t *testing.T) {
+func TestBulkChangeCommitsAmongUrgentOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		step := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}, Estimate: 500}
@@ -207,9 +207,9 @@
 	})
 }
 
-// TestStopThatIsRepeatedCounts checks that a run which a worker has ruled out is
+// TestRepeatedStopRulesOutRun checks that a run which a worker has ruled out is
 // given up although the stop is repeated more often than the worker is looked at.
-func TestStopThatIsRepeatedCounts(t *testing.T) {
+func TestRepeatedStopRulesOutRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		w.timing.StopTimeout = cottonlanding.Millis(rapid.IntRange(100, 900).Draw(t, "StopTimeout"))
--- a/internal/workflow/planner/fit_test.go
+++ b/internal/workflow/planner/fit_test.go
@@ -24,7 +24,7 @@
 
 // cellOf returns a cell that knows one queue, and no workers.
 func cellOf(queue cottonlanding.QueueName) *planner.Cell {
-	cell := planner.New(planner.Setup{Partition: partition, Epoch: 1}, timing, selector.Default().Planner, quiet())
+	cell := planner.New(planner.Setup{Partition: partition, Epoch: 1}, timing, selector.Default().Planner, discardLog())
 	cell.SetQueues(cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{queue: {Name: queue, Service: "S"}}})
 	return cell
 }
@@ -47,7 +47,7 @@
 // rows to write, as soon as the clients ask again.
 func TestManyLargeRowsAreCommittedInTurn(t *testing.T) {
 	const workflows, tasks = 40, 1000
-	cell := planner.New(planner.Setup{Partition: partition, Epoch: 2}, timing, selector.Default().Planner, quiet())
+	cell := planner.New(planner.Setup{Partition: partition, Epoch: 2}, timing, selector.Default().Planner, discardLog())
 	var specs, states []cottonlanding.Row
 	for at := range workflows {
 		id := cottonlanding.WorkflowID(fmt.Sprintf("w%d", at))
--- a/internal/workflow/planner/fitgang_test.go
+++ b/internal/workflow/planner/fitgang_test.go
@@ -19,8 +19,8 @@
 	row := `["",1,"",0,"` + long + `"]`
 	after := saving(others)
 	after.After = []int{0}
-	w.texts.note(first("slow"), cottonlanding.Checkpoint(long))
-	w.texts.lists[cottonlanding.RunKey{Task: first("slow"), Number: 2}] = -1000 // it has no newer text for so many lists
+	w.checkpoints.note(first("slow"), cottonlanding.Checkpoint(long))
+	w.checkpoints.lists[cottonlanding.RunKey{Task: first("slow"), Number: 2}] = -1000 // it has no newer text for so many lists
 	w.loadRow("slow", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+row+`,["",1]`+strings.Repeat(","+row, others)+`]}`, savingGang(2), after)
 	for range 20 {
 		w.turnWithout(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
@@ -34,11 +34,11 @@
 // run was started: the rows of the other members wiped that out when they were read.
 func TestRowOfAGangWithoutTheNewestText(t *testing.T) {
 	w := savedWorld(t)
-	w.texts.note(first("gang"), "one")
+	w.checkpoints.note(first("gang"), "one")
 	w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["A",1,"w1",0,"",0,0,"one"],["A",1,"w2"]]}`, savingGang(2))
 	w.play(2 * cottonlanding.Second)
-	require.EqualValues(t, "one", w.texts.brought[cottonlanding.RunKey{Task: first("gang"), Number: 1}])
-	require.Empty(t, w.texts.faults)
+	require.EqualValues(t, "one", w.checkpoints.brought[cottonlanding.RunKey{Task: first("gang"), Number: 1}])
+	require.Empty(t, w.checkpoints.faults)
 }
 
 // Owners of older code have kept texts that are too long, or in which U+FFFD stands for what the
@@ -53,7 +53,7 @@
 			w.loadRow("w", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"`+text+`"]]}`, saving(1))
 			w.play(2 * cottonlanding.Second)
 			require.Equal(t, 1, w.runner.Starts())
-			require.Empty(t, w.texts.faults)
+			require.Empty(t, w.checkpoints.faults)
 		})
 	}
 }
--- a/internal/workflow/planner/fitresume_test.go
+++ b/internal/workflow/planner/fitresume_test.go
@@ -20,13 +20,13 @@
 		t.Run(name, func(t *testing.T) {
 			const count = 12
 			w := savedWorld(t)
-			w.timing.LongestLease = w.timing.Lease + 4*cottonlanding.Second
+			w.timing.MaxLease = w.timing.Lease + 4*cottonlanding.Second
 			var steps []cottonlanding.Step
 			var rows []string
 			for at := range count {
 				steps = append(steps, step)
 				for index := range step.Tasks {
-					w.texts.note(cottonlanding.TaskRef{Workflow: "slow", Step: at, Index: index}, cottonlanding.Checkpoint(long))
+					w.checkpoints.note(cottonlanding.TaskRef{Workflow: "slow", Step: at, Index: index}, cottonlanding.Checkpoint(long))
 					rows = append(rows, `["",1,"",0,"`+escaped+`"]`)
 				}
 			}
@@ -37,7 +37,7 @@
 				require.LessOrEqual(t, len(w.rows[planner.StateKey(partition, "slow")].Value), maxRow)
 			}
 			require.NotZero(t, w.runner.Starts())
-			require.Empty(t, w.texts.faults)
+			require.Empty(t, w.checkpoints.faults)
 		})
 	}
 }
--- a/internal/workflow/planner/guest.go
+++ b/internal/workflow/planner/guest.go
@@ -54,7 +54,7 @@
 }
 
 // isGuest reports whether another cell keeps the workflow.
-func (j *job) isGuest() bool { return j.guestOf != nil }
+func (j *job) isGuest() bool { return j.delegatedBy != nil }
 
 // mayStart reports whether tasks of the workflow may be started: always, but those of a guest only
 // while its keeper has said so lately.
@@ -103,7 +103,7 @@
 	if j == nil {
 		j = c.addGuest(keeper, asked, now)
 	}
-	if j == nil || !j.isGuest() || *j.guestOf != keeper {
+	if j == nil || !j.isGuest() || *j.delegatedBy != keeper {
 		c.log.Error("guest not taken", "Workflow", asked.Workflow.ID, "Keeper", keeper)
 		return nil
 	}
@@ -130,10 +130,10 @@
 		return nil
 	}
 	j := newJob(asked.Workflow, queue, now)
-	j.spec, j.guestOf, j.placed, j.state = spec, &keeper, true, cottonlanding.WorkflowRunning
+	j.spec, j.delegatedBy, j.placed, j.state = spec, &keeper, true, cottonlanding.WorkflowRunning
 	j.eachTask(func(t *task) { t.setAway(taskElsewhere) })
 	c.addJob(j)
-	c.touch(j)
+	c.markDirty(j)
 	c.log.Info("guest accepted", "Workflow", j.ID, "Keeper", keeper, "Epoch", c.setup.Epoch)
 	return j
 }
@@ -141,20 +141,20 @@
 // takeGuest begins to hold a task for its keeper.
 func (c *Cell) takeGuest(t *task, told DelegatedTask, now cottonlanding.Millis) {
 	t.setAway(taskWaiting)
-	t.number, t.crashes, t.since, t.seenAt = told.Number, told.Crashes, now, 0
+	t.number, t.crashes, t.waitingSince, t.lastRunningAt = told.Number, told.Crashes, now, 0
 	t.stage.ready = true
 	t.takeCheckpoint(told, now)
 	c.recordGuestDown(t, now)
-	c.touch(t.job)
+	c.markDirty(t.job)
 	c.reportedAt = 0
-	c.log.Info("guest task accepted", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.guestOf)
+	c.log.Info("guest task accepted", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.delegatedBy)
 }
 
 // reportGuest returns what is known of the tasks of a guest. That a task is returned, or that the workflow is
 // given up, is told once it is committed.
 func (c *Cell) reportGuest(j *job, asked []DelegatedTask, now cottonlanding.Millis) GuestReport {
 	report := GuestReport{ID: j.ID}
-	if j.shown == cottonlanding.WorkflowFailed {
+	if j.committedState == cottonlanding.WorkflowFailed {
 		report.Failed = j.reason
 	}
 	for _, told := range asked {
@@ -167,7 +167,7 @@
 			Number:     t.number,
 			Returned:   t.state == taskElsewhere,
 			Running:    t.run != nil && t.run.phase == started,
-			Waited:     now - t.since,
+			Waited:     now - t.waitingSince,
 			Crashes:    t.crashes,
 			Checkpoint: t.checkpoint.text,
 		})
@@ -177,7 +177,7 @@
 
 // uncommitted reports whether the job has changes that aren't in the table for sure.
 func (c *Cell) uncommitted(j *job) bool {
-	return !j.committed || c.dirty[j.ID] != nil || c.inFlight != nil && c.inFlight.includes(j.ID)
+	return !j.persisted || c.dirty[j.ID] != nil || c.inFlight != nil && c.inFlight.includes(j.ID)
 }
 
 // endGuest stops what is held of a workflow that is over.
@@ -189,17 +189,17 @@
 	if !j.state.Final() {
 		c.end(j, cottonlanding.WorkflowCancelled, "its workflow has ended", now)
 	}
-	return GuestReport{ID: id, Ended: j.shown.Final()}
+	return GuestReport{ID: id, Ended: j.committedState.Final()}
 }
 
 // returnGuests gives tasks back for which there is no room here either.
 func (c *Cell) returnGuests(now cottonlanding.Millis) {
-	for _, j := range c.order {
+	for _, j := range c.openJobs {
 		if !j.isGuest() || !j.mayStart(now) {
 			continue // its keeper may have nobody who could take a task back
 		}
 		j.eachTask(func(t *task) {
-			if t.state == taskWaiting && now-t.since >= returnAfter {
+			if t.state == taskWaiting && now-t.waitingSince >= returnAfter {
 				c.returnGuest(t, now)
 			}
 		})
@@ -210,9 +210,9 @@
 func (c *Cell) returnGuest(t *task, now cottonlanding.Millis) {
 	t.setAway(taskElsewhere)
 	t.number++
-	c.touch(t.job)
+	c.markDirty(t.job)
 	c.reportedAt = 0
-	c.log.Info("guest task returned", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.guestOf, "Waited", now-t.since)
+	c.log.Info("guest task returned", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.delegatedBy, "Waited", now-t.waitingSince)
 }
 
 // unlockGuests marks the steps of which this cell holds tasks: their keeper has found them ready.
@@ -227,9 +227,9 @@
 // these keepers.
 func (c *Cell) ForgottenGuests(most int, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	out := make(map[cottonlanding.WorkflowID]cottonlanding.CellNumber)
-	for _, j := range c.order {
+	for _, j := range c.openJobs {
 		if len(out) < most && j.isGuest() && now-max(j.confirmedAt, j.accepted) >= forgottenAfter {
-			out[j.ID] = *j.guestOf
+			out[j.ID] = *j.delegatedBy
 		}
 	}
 	return out
--- a/internal/workflow/planner/handover.go
+++ b/internal/workflow/planner/handover.go
@@ -19,7 +19,7 @@
 // Leavers returns up to a number of workflows that wait, of which nothing was ever placed.
 func (c *Cell) Leavers(most int, now cottonlanding.Millis) []cottonlanding.Workflow {
 	var out []cottonlanding.Workflow
-	for _, j := range c.order {
+	for _, j := range c.openJobs {
 		if len(out) < most && c.mayLeave(j, now) {
 			out = append(out, j.Workflow)
 		}
@@ -35,16 +35,16 @@
 	if !waits || !stateFits(j.Workflow, widestLife) {
 		return false // a cell whose workers have longer ids might refuse it
 	}
-	return j.committed && c.dirty[j.ID] == nil && (c.inFlight == nil || !c.inFlight.includes(j.ID))
+	return j.persisted && c.dirty[j.ID] == nil && (c.inFlight == nil || !c.inFlight.includes(j.ID))
 }
 
 // HandOver has another cell keep a workflow that Leavers has returned just now.
 func (c *Cell) HandOver(id cottonlanding.WorkflowID, to cottonlanding.CellNumber, now cottonlanding.Millis) {
 	j := c.jobs[id]
 	delete(c.jobs, id)
-	c.order = slices.DeleteFunc(c.order, func(other *job) bool { return other == j })
+	c.openJobs = slices.DeleteFunc(c.openJobs, func(other *job) bool { return other == j })
 	c.referrals[id] = &referral{cell: to, since: now, pending: &j.Workflow, left: true}
-	c.unwritten[id] = []func(error){}
+	c.unplannedReferrals[id] = []func(error){}
 	c.reportedAt = 0
 	c.counts.HandedOver++
 	c.log.Info("workflow handed over", "Workflow", id, "To", to, "Waited", now-j.accepted, "Epoch", c.setup.Epoch)
@@ -68,8 +68,8 @@
 		return
 	}
 	known.pending, known.since = nil, now
-	if c.unwritten[id] == nil {
-		c.unwritten[id] = []func(error){}
+	if c.unplannedReferrals[id] == nil {
+		c.unplannedReferrals[id] = []func(error){}
 	}
 }
 
--- a/internal/workflow/planner/handover_test.go
+++ b/internal/workflow/planner/handover_test.go
@@ -31,7 +31,7 @@
 
 	w.now += 2 * w.timing.Lease
 	w.takeOver()
-	w.lookAll()
+	w.pollAll()
 	w.now += 700
 	w.turn(0)
 	require.Equal(t, full, w.runner.Lasting())
@@ -44,7 +44,7 @@
 // cell with too many of those still has room for lasting ones.
 func TestReportTellsWhatIsHeldForGood(t *testing.T) {
 	w := newSpreadWorld(t)
-	step := cottonlanding.Step{Tasks: 16, Resources: cottonlanding.Resources{CPU: 1000, Memory: cottonlanding.Gigabyte}, Estimate: slowLasts}
+	step := cottonlanding.Step{Tasks: 16, Resources: cottonlanding.Resources{CPU: 1000, Memory: cottonlanding.Gigabyte}, Estimate: slowDuration}
 	lasting := step
 	lasting.Lasting = true
 	w.turn(100)
--- a/internal/workflow/planner/job.go
+++ b/internal/workflow/planner/job.go
@@ -23,11 +23,11 @@
 	// leftOut rounds: they are finished.
 	size    rowSize
 	leftOut int
-	// outlook is what is left to be done, nil when it must be worked out anew.
-	outlook *outlook
-	// lasts says that a step of the job is lasting, missed that a task of such a step
+	// forecast is what is left to be done, nil when it must be worked out anew.
+	forecast *outlook
+	// hasLasting says that a step of the job is lasting, interrupted that a task of such a step
 	// was interrupted and has waited for long.
-	lasts, missed bool
+	hasLasting, interrupted bool
 	// rank is where the workflow goes among those of its priority.
 	rank cottonlanding.Rank
 	// placed says that a task of the job has been placed once, so that the job may no longer leave the
@@ -38,16 +38,16 @@
 	// dirtySince is the number of plans made before the job's first change that is not
 	// in a plan yet.
 	dirtySince int64
-	// committed says that the job's rows exist, shown is the committed state.
-	committed bool
-	shown     cottonlanding.WorkflowState
-	version   cottonlanding.Version
+	// persisted says that the job's rows exist, shown is the persisted state.
+	persisted      bool
+	committedState cottonlanding.WorkflowState
+	version        cottonlanding.Version
 	// spec is the row that never changes until it is committed, specVersion its version then.
 	spec        []byte
 	specVersion cottonlanding.Version
-	// guestOf is the cell that keeps the workflow, if this one only runs tasks for it, confirmedAt when
+	// delegatedBy is the cell that keeps the workflow, if this one only runs tasks for it, confirmedAt when
 	// that cell last said for sure that the workflow goes on.
-	guestOf     *cottonlanding.CellNumber
+	delegatedBy *cottonlanding.CellNumber
 	confirmedAt cottonlanding.Millis
 }
 
@@ -66,10 +66,10 @@
 	ready bool
 	// load is that of a serving step.
 	load ownLoad
-	// noRoomAt is when room may be made for the step again.
-	noRoomAt cottonlanding.Millis
-	// toldAt is when it was last logged why the step waits.
-	toldAt cottonlanding.Millis
+	// nextRoomTry is when room may be made for the step again.
+	nextRoomTry cottonlanding.Millis
+	// loggedAt is when it was last logged why the step waits.
+	loggedAt cottonlanding.Millis
 }
 
 // taskState is where a task stands.
@@ -100,33 +100,33 @@
 	// life is where the last run was placed.
 	life cottonlanding.Life
 	run  *run
-	// since is when the task began to wait.
-	since cottonlanding.Millis
+	// waitingSince is when the task began to wait.
+	waitingSince cottonlanding.Millis
 	// downtime is set while a lasting task that was placed before isn't known to run.
 	downtime *downtime
-	// seenAt is when a run of the task was last known to be at work, zero if none was.
-	seenAt cottonlanding.Millis
-	// leftUnheard counts the workers that the task has left since, because they didn't tell of its start.
-	leftUnheard int
+	// lastRunningAt is when a run of the task was last known to be at work, zero if none was.
+	lastRunningAt cottonlanding.Millis
+	// abandonedStarts counts the workers that the task has left since, because they didn't tell of its start.
+	abandonedStarts int
 	// failedOn lists the lives of workers that failed it or on which it stood still.
 	failedOn []cottonlanding.Life
-	// roomUntil is how long the task waits for room that is being made.
-	roomUntil cottonlanding.Millis
-	// awayCommitted says that the row which names the task's guest cell is committed. returnedBy holds the
+	// preemptionUntil is how long the task waits for room that is being made.
+	preemptionUntil cottonlanding.Millis
+	// delegationCommitted says that the row which names the task's guest cell is committed. returnedBy holds the
 	// cells that have returned the task, and when, returnedAt the last of these instants.
-	awayCommitted bool
-	returnedBy    map[cottonlanding.CellNumber]cottonlanding.Millis
-	returnedAt    cottonlanding.Millis
+	delegationCommitted bool
+	returnedBy          map[cottonlanding.CellNumber]cottonlanding.Millis
+	returnedAt          cottonlanding.Millis
 }
 
 func newJob(workflow cottonlanding.Workflow, queue cottonlanding.Queue, now cottonlanding.Millis) *job {
 	j := &job{
-		Workflow: workflow,
-		queue:    queue,
-		state:    cottonlanding.WorkflowPending,
-		accepted: now,
-		rounds:   make(map[int]*round),
-		lasts:    slices.ContainsFunc(workflow.Steps, func(s cottonlanding.Step) bool { return s.Lasting }),
+		Workflow:   workflow,
+		queue:      queue,
+		state:      cottonlanding.WorkflowPending,
+		accepted:   now,
+		rounds:     make(map[int]*round),
+		hasLasting: slices.ContainsFunc(workflow.Steps, func(s cottonlanding.Step) bool { return s.Lasting }),
 	}
 	if workflow.Schedule.Rounds == 0 {
 		j.addRound(0, now)
@@ -141,19 +141,19 @@
 		s := &stage{Step: step}
 		for at := range step.Tasks {
 			ref := cottonlanding.TaskRef{Workflow: j.ID, Round: number, Step: index, Index: at}
-			s.tasks = append(s.tasks, &task{ref: ref, job: j, stage: s, since: now})
+			s.tasks = append(s.tasks, &task{ref: ref, job: j, stage: s, waitingSince: now})
 		}
 		r.steps = append(r.steps, s)
 	}
 	j.rounds[number] = r
 	j.size.undone += tasksPerRound(j.Workflow)
-	j.outlook = nil
-	r.unlock(now)
+	j.forecast = nil
+	r.markReady(now)
 	return r
 }
 
-// unlock marks the steps whose earlier steps are done.
-func (r *round) unlock(now cottonlanding.Millis) {
+// markReady marks the steps whose earlier steps are done.
+func (r *round) markReady(now cottonlanding.Millis) {
 	for _, s := range r.steps {
 		if s.ready {
 			continue
@@ -163,7 +163,7 @@
 			continue
 		}
 		for _, t := range s.tasks {
-			t.since = now
+			t.waitingSince = now
 		}
 	}
 }
@@ -221,7 +221,7 @@
 func (c *Cell) Submit(workflow cottonlanding.Workflow, now cottonlanding.Millis, done func(error)) {
 	if known := c.jobs[workflow.ID]; known != nil {
 		if known.isGuest() {
-			done(fmt.Errorf("cell %s keeps workflow %s: %w", known.guestOf, workflow.ID, cottonlanding.ErrUnavailable))
+			done(fmt.Errorf("cell %s keeps workflow %s: %w", known.delegatedBy, workflow.ID, cottonlanding.ErrUnavailable))
 			return
 		}
 		c.whenCommitted(workflow.ID, done)
@@ -248,18 +248,18 @@
 	j := newJob(workflow, queue, now)
 	j.spec = spec
 	c.addJob(j)
-	c.touch(j)
+	c.markDirty(j)
 	c.counts.Accepted++
-	c.replies[j.ID] = append(c.replies[j.ID], done)
+	c.callbacks[j.ID] = append(c.callbacks[j.ID], done)
 	c.logs.tasks.Info("workflow accepted", "Workflow", j.ID, "Queue", j.Queue, "Steps", len(j.Steps),
 		"Queues", c.queues.Version, "Epoch", c.setup.Epoch)
 }
 
 // Knows reports whether a workflow was handed in before, accepted or not yet.
-func (c *Cell) Knows(id cottonlanding.WorkflowID) bool { return c.kept(id) != nil }
+func (c *Cell) Knows(id cottonlanding.WorkflowID) bool { return c.ownJob(id) != nil }
 
-// kept returns a workflow that this cell keeps, or nil.
-func (c *Cell) kept(id cottonlanding.WorkflowID) *job {
+// ownJob returns a workflow that this cell keeps, or nil.
+func (c *Cell) ownJob(id cottonlanding.WorkflowID) *job {
 	if j := c.jobs[id]; j != nil && !j.isGuest() {
 		return j
 	}
@@ -267,19 +267,19 @@
 }
 
 func (c *Cell) addJob(j *job) {
-	c.weighs = c.weighs || j.namesImages()
+	c.hasImages = c.hasImages || j.namesImages()
 	c.sequence++
 	c.reportedAt = 0 // it waits for room that others must not count on
 	j.sequence = c.sequence
 	c.recordWork(j)
 	c.jobs[j.ID] = j
 	if !j.state.Final() {
-		c.order = append(c.order, j)
+		c.openJobs = append(c.openJobs, j)
 	}
 }
 
-// touch marks a job whose state must be committed.
-func (c *Cell) touch(j *job) {
+// markDirty marks a job whose state must be committed.
+func (c *Cell) markDirty(j *job) {
 	if c.dirty[j.ID] == nil {
 		c.dirty[j.ID], j.dirtySince = j, c.plans
 	}
@@ -289,9 +289,9 @@
 func (c *Cell) whenCommitted(id cottonlanding.WorkflowID, done func(error)) {
 	switch {
 	case c.dirty[id] != nil:
-		c.replies[id] = append(c.replies[id], done)
+		c.callbacks[id] = append(c.callbacks[id], done)
 	case c.inFlight != nil && c.inFlight.includes(id):
-		c.inFlight.replies = append(c.inFlight.replies, done)
+		c.inFlight.callbacks = append(c.inFlight.callbacks, done)
 	default:
 		done(nil)
 	}
@@ -304,7 +304,7 @@
 		done(fmt.Errorf("workflow %s is being handed over: %w", id, cottonlanding.ErrUnavailable))
 		return
 	}
-	j := c.kept(id)
+	j := c.ownJob(id)
 	if j == nil {
 		done(fmt.Errorf("workflow %s: %w", id, cottonlanding.ErrNotFound))
 		return
@@ -321,19 +321,19 @@
 	if c.Pending(id) {
 		return cottonlanding.WorkflowPending, true
 	}
-	j := c.kept(id)
-	if j == nil || !j.committed {
+	j := c.ownJob(id)
+	if j == nil || !j.persisted {
 		return "", false
 	}
-	return j.shown, true
+	return j.committedState, true
 }
 
 // Waiting counts the accepted workflows of a queue of which no task has begun, as far as is known: a new owner
 // counts also those that have until their workers tell. Guests are counted by their keepers.
 func (c *Cell) Waiting(queue cottonlanding.QueueName) int {
 	count := 0
-	for _, j := range c.order {
-		if j.Queue == queue && j.committed && !j.started && !j.isGuest() && !j.state.Final() {
+	for _, j := range c.openJobs {
+		if j.Queue == queue && j.persisted && !j.started && !j.isGuest() && !j.state.Final() {
 			count++
 		}
 	}
@@ -348,8 +348,8 @@
 			c.stop(t.run, "the workflow ended", now)
 		}
 	})
-	c.order = slices.DeleteFunc(c.order, func(other *job) bool { return other == j })
-	c.touch(j)
+	c.openJobs = slices.DeleteFunc(c.openJobs, func(other *job) bool { return other == j })
+	c.markDirty(j)
 	c.logs.ofEnd(state).Info(j.endedLine(), "Workflow", j.ID, "State", state, "Reason", reason, "After", now-j.accepted)
 }
 
@@ -357,14 +357,14 @@
 func (c *Cell) prune(now cottonlanding.Millis) {
 	c.pruneOpen(now)
 	for _, j := range c.jobs {
-		if j.committed && c.expired(j, now) && c.dirty[j.ID] == nil {
-			c.touch(j)
+		if j.persisted && c.expired(j, now) && c.dirty[j.ID] == nil {
+			c.markDirty(j)
 		}
 	}
 }
 
 func (c *Cell) expired(j *job, now cottonlanding.Millis) bool {
-	return j.state.Final() && now-j.ended > c.timing.Retention && c.away[j.ID] == nil
+	return j.state.Final() && now-j.ended > c.timing.Retention && c.remote[j.ID] == nil
 }
 
 // namesImages reports whether a step of the workflow names what its tasks run.
--- a/internal/workflow/planner/lapse_test.go
+++ b/internal/workflow/planner/lapse_test.go
@@ -50,11 +50,11 @@
 	w.play(idleFor)
 	w.submit("placed", "Urgent", short(100))
 	w.now += turnSpan
-	w.begin()
+	w.makePlan()
 	for _, worker := range w.workers {
 		w.runner.Dark(worker.ID, true)
 	}
-	w.lookAll()
+	w.pollAll()
 	w.play(cottonlanding.Second)
 	w.join()
 	w.play(idleFor)
--- a/internal/workflow/planner/lastingstarts_test.go
+++ b/internal/workflow/planner/lastingstarts_test.go
@@ -31,10 +31,10 @@
 func TestPlacedRunLeavesALeasedWorkerThatFallsSilent(t *testing.T) {
 	w := lastingWorld(t)
 	w.leaveLasting()
-	w.lookAll()
-	w.begin()
+	w.pollAll()
+	w.makePlan()
 	w.runner.Dark(w.plannedWorker("lasting"), true)
-	w.lookAll()
+	w.pollAll()
 	require.Less(t, w.downFor("lasting", 1, func() {}), cottonlanding.Second)
 	require.Empty(t, w.runner.Violations())
 }
@@ -81,7 +81,7 @@
 			continue
 		}
 		reading, err := d.send(order)
-		d.cell.Ordered(order, reading, err, d.now)
+		d.cell.OrderAnswered(order, reading, err, d.now)
 	}
 	d.pending = slices.DeleteFunc(d.pending, func(order planner.Order) bool {
 		if d.now-order.SentAt < d.takes {
@@ -90,12 +90,12 @@
 		if errors.Is(d.err, cottonlanding.ErrAmbiguous) {
 			d.late = append(d.late, order)
 		}
-		d.cell.Ordered(order, 0, d.err, d.now)
+		d.cell.OrderAnswered(order, 0, d.err, d.now)
 		return true
 	})
 	if d.now-d.lookedAt >= lookEvery {
 		d.lookedAt = d.now
-		d.lookAll()
+		d.pollAll()
 	}
 }
 
@@ -222,6 +222,6 @@
 		d.turn()
 	}
 	require.Len(t, d.pending, 1)
-	require.False(t, d.pending[0].Unwanted())
+	require.False(t, d.pending[0].Obsolete())
 	require.Equal(t, d.worker, d.pending[0].Worker.Life.Worker)
 }
--- a/internal/workflow/planner/lastingwaits_test.go
+++ b/internal/workflow/planner/lastingwaits_test.go
@@ -51,7 +51,7 @@
 	w.submit("lasting", "Urgent", lasting(1, 0, 6000))
 	w.commit()
 	w.setLosses("lasting", fewLossesLeft)
-	w.lookAll()
+	w.pollAll()
 	w.playUntilStarted()
 	w.play(seenOnce)
 	at = slices.IndexFunc(w.workers, func(info cottonlanding.WorkerInfo) bool { return w.runner.RunsOn(info.ID) > 0 })
@@ -241,7 +241,7 @@
 		w.decide(turnSpan)
 		for _, worker := range w.workers {
 			if worker.ID != silent {
-				w.look(worker.ID, true)
+				w.poll(worker.ID, true)
 			}
 		}
 	}
--- a/internal/workflow/planner/lateplay_test.go
+++ b/internal/workflow/planner/lateplay_test.go
@@ -33,18 +33,18 @@
 			continue
 		}
 		reading, err := p.send(order)
-		p.cell.Ordered(order, reading, err, p.now)
+		p.cell.OrderAnswered(order, reading, err, p.now)
 	}
 	for _, one := range p.pending {
 		if p.now-one.order.SentAt == callTime {
-			p.cell.Ordered(one.order, 0, cottonlanding.ErrAmbiguous, p.now)
+			p.cell.OrderAnswered(one.order, 0, cottonlanding.ErrAmbiguous, p.now)
 		}
 	}
 	for len(p.pending) > 0 && p.pending[0].at <= p.now {
 		_, _ = p.send(p.pending[0].order)
 		p.pending = p.pending[1:]
 	}
-	p.lookAll()
+	p.pollAll()
 }
 
 // TestTasksRunAlthoughAllStartsAreLate: a lasting task that left each worker which didn't tell of its start in time never ran where all of them
@@ -68,8 +68,8 @@
 // silent. The next owner went by a bound that was for the life before, and started the task once more beside it.
 func TestBoundsCoverTheNextLife(t *testing.T) {
 	w := newOwnedWorld(t)
-	w.timing.LongestLease = 10 * cottonlanding.Second
-	w.runner.CutLeases(w.timing.LongestLease)
+	w.timing.MaxLease = 10 * cottonlanding.Second
+	w.runner.CutLeases(w.timing.MaxLease)
 	rebirths := func() {
 		for at := range w.workers {
 			w.rebirth(at)
--- a/internal/workflow/planner/leasebounds.go
+++ b/internal/workflow/planner/leasebounds.go
@@ -88,7 +88,9 @@
 func (c *Cell) SetTableSlow(slow bool) { c.bounds.tableSlow = slow }
 
 // capsLeases reports whether leases are bounded by until when the owner surely owns the cell.
-func (c *Cell) capsLeases() bool { return c.bounds.ownedUntil > 0 && c.timing.LeaseTail > 0 }
+func (c *Cell) capsLeases() bool {
+	return c.bounds.ownedUntil > 0 && c.timing.MaxLeasePastOwnership > 0
+}
 
 // leaseSpan returns how long after the last reading of a worker's clock a lease lasts that is granted now.
 func (c *Cell) leaseSpan(w *worker, now cottonlanding.Millis) cottonlanding.Millis {
@@ -96,7 +98,7 @@
 	if !c.capsLeases() {
 		return span
 	}
-	return min(span, c.bounds.ownedUntil+c.timing.LeaseTail-w.readAt)
+	return min(span, c.bounds.ownedUntil+c.timing.MaxLeasePastOwnership-w.readAt)
 }
 
 // mayOutlast reports whether leases on a worker may last for longer than one that is granted now, since another life of it
@@ -154,7 +156,7 @@
 	if written.Older == 0 || c.setup.BeforeOwnedUntil == 0 {
 		return
 	}
-	itsOwn := c.setup.BeforeOwnedUntil + c.timing.LeaseTail + c.timing.longestSpan()/driftDivisor + leaseMargin
+	itsOwn := c.setup.BeforeOwnedUntil + c.timing.MaxLeasePastOwnership + c.timing.longestSpan()/driftDivisor + leaseMargin
 	c.bounds.older = max(itsOwn, c.bounds.clock.Until(written.Older))
 }
 
@@ -178,7 +180,7 @@
 // the longest.
 func (c *Cell) nextLifeSpan(w *worker) cottonlanding.Millis {
 	if slices.ContainsFunc(w.runs.all(), func(r *run) bool { return r.born.IsOtherThan(w.info.Born) }) {
-		return max(0, c.timing.LongestLease-c.timing.Lease)
+		return max(0, c.timing.MaxLease-c.timing.Lease)
 	}
 	return 0
 }
--- a/internal/workflow/planner/leasebounds_test.go
+++ b/internal/workflow/planner/leasebounds_test.go
@@ -23,7 +23,7 @@
 // newOwnedWorld returns a world with the spans of service whose owners know until when they own the cell.
 func newOwnedWorld(t require.TestingT) *world {
 	w := newSpreadWorld(t)
-	w.timing.CutOffGrace, w.timing.LeaseTail = ownerSeenGone-ownerTimeToLive, w.timing.Lease+cottonlanding.Second
+	w.timing.CutOffGrace, w.timing.MaxLeasePastOwnership = ownerSeenGone-ownerTimeToLive, w.timing.Lease+cottonlanding.Second
 	w.ownedFor = ownerTimeToLive
 	w.takeOver()
 	return w
@@ -80,9 +80,9 @@
 func (w *world) playSilentTable(span cottonlanding.Millis) {
 	for end := w.now + span; w.now < end; {
 		w.now += turnSpan
-		w.begin()
+		w.makePlan()
 		w.orders(func() string { return "" })
-		w.lookAll()
+		w.pollAll()
 	}
 }
 
@@ -130,7 +130,7 @@
 			case 5:
 				w.playSilentTable(cottonlanding.Millis(rapid.IntRange(100, 5000).Draw(t, "Silent")))
 			case 6:
-				if w.begin(); w.plan != nil { // its answer is lost
+				if w.makePlan(); w.plan != nil { // its answer is lost
 					w.apply()
 					w.takeOverFrom(w.now + ownerSeenGone)
 				}
@@ -192,7 +192,7 @@
 	for w.now < lastBeat+ownerSeenGone {
 		w.now += turnSpan
 		w.orders(func() string { return "" })
-		w.lookAll()
+		w.pollAll()
 	}
 	for _, info := range w.workers[:2] {
 		w.runner.Dark(info.ID, true)
@@ -209,8 +209,8 @@
 // that workers take. A lasting task that began there and lost its worker once more stayed down for that long.
 func TestLastingTasksKeepOffALifeThatHasJustBegun(t *testing.T) {
 	w := newOwnedWorld(t)
-	w.timing.LongestLease = 10 * cottonlanding.Second
-	w.runner.CutLeases(w.timing.LongestLease)
+	w.timing.MaxLease = 10 * cottonlanding.Second
+	w.runner.CutLeases(w.timing.MaxLease)
 	w.rebirth(0)
 	w.takeOver()
 	w.play(cottonlanding.Second)
--- a/internal/workflow/planner/life.go
+++ b/internal/workflow/planner/life.go
@@ -110,7 +110,7 @@
 	w.before = w.before[max(0, len(w.before)-birthsKept):]
 	// Leases reckoned by the clock of the life before may have reached this one, which cuts
 	// them to the longest.
-	w.bound = max(before.bound, now+stretched(c.timing.LongestLease))
+	w.bound = max(before.bound, now+stretched(c.timing.MaxLease))
 	c.log.Warn("another life of a worker", "Worker", w.info.ID, "Before", before.born, "Born", born, "Listed", w.info.Born,
 		"LastAnswer", now-before.answered, "SilentFor", now-before.lastContact(now), "Noted", before.noted, "Runs", before.runs.size())
 	for _, r := range before.runs.snapshot() {
@@ -162,7 +162,7 @@
 	}
 	if t := r.task; t != nil && t.run == r {
 		t.setLife(r.worker.life())
-		c.touch(t.job)
+		c.markDirty(t.job)
 	}
 }
 
@@ -178,7 +178,7 @@
 		case !r.isEarlier():
 		case lists(report, r.RunKey):
 			c.adoptTaken(r)
-		case len(report.Ended) >= endsPerAnswer: // others may be left out
+		case len(report.Ended) >= maxEndsPerPoll: // others may be left out
 			r.adopt()
 		case r.phase < sent:
 			unsent = append(unsent, r)
@@ -191,7 +191,7 @@
 	before := cmp.Or(w.predecessor, w)
 	w.predecessor = nil
 	for _, r := range unsent {
-		c.vanish(r, now)
+		c.dropRun(r, now)
 	}
 	if len(lost) > 0 {
 		c.loseRuns(before, lost, now, lossByBirth)
@@ -201,7 +201,7 @@
 // loseEarlier ends a run of an earlier life, or has it ruled out first in the present one.
 func (c *Cell) loseEarlier(r *run, now cottonlanding.Millis) {
 	if !r.mayCome() {
-		c.vanish(r, now)
+		c.dropRun(r, now)
 		return
 	}
 	r.adopt()
@@ -222,7 +222,7 @@
 	}
 	r.doubtful = r.doubtful || err == nil || errors.Is(err, cottonlanding.ErrAmbiguous)
 	if !r.doubtful {
-		c.vanish(r, now)
+		c.dropRun(r, now)
 	}
 }
 
--- a/internal/workflow/planner/life_test.go
+++ b/internal/workflow/planner/life_test.go
@@ -21,7 +21,7 @@
 // was never silent. A task that crashes it is given up all the same, and an innocent one isn't.
 func TestCrashCountsWhenItsWorkerIsBackAtOnce(t *testing.T) {
 	w := bornWorld(t)
-	w.culprits, w.crashAfter = map[cottonlanding.TaskRef]bool{first("culprit"): true}, promptCrash
+	w.faultyTasks, w.crashAfter = map[cottonlanding.TaskRef]bool{first("culprit"): true}, promptCrash
 	w.submit("culprit", "Urgent", quick(1))
 	w.submit("innocent", "Urgent", quick(4))
 	for range 400 {
@@ -50,7 +50,7 @@
 	w.orders(func() string { return "lost" })
 	for range 3 {
 		w.rebirth(0)
-		w.lookAll()
+		w.pollAll()
 	}
 	w.relist()
 	w.play(3 * cottonlanding.Second)
@@ -69,7 +69,7 @@
 	require.Empty(t, w.cell.Orders(w.now))
 	w.rebirth(0)
 	require.Empty(t, w.cell.Orders(w.now))
-	w.lookAll()
+	w.pollAll()
 	w.relist()
 	w.play(cottonlanding.Second)
 	require.True(t, w.runner.Runs(first("slow")))
@@ -114,7 +114,7 @@
 	info.Born, info.Address = info.Born+1000, "elsewhere"
 	w.runner.Rebirth(info.ID, info.Address, info.Born)
 	w.relist()
-	w.lookAll()
+	w.pollAll()
 	w.cell.LookFailed(next, cottonlanding.ErrOtherLife, w.now)
 	_, found := w.cell.NextLook("w1", w.now)
 	require.True(t, found)
@@ -133,7 +133,7 @@
 func playLeaseOfTheNextLife(t *testing.T, looks bool) {
 	w := bornWorld(t)
 	longest := w.timing.Lease + 4*cottonlanding.Second
-	w.timing.LongestLease = longest
+	w.timing.MaxLease = longest
 	w.runner.CutLeases(longest)
 	w.takeOver()
 	w.play(3 * cottonlanding.Second)
@@ -145,7 +145,7 @@
 	w.orders(func() string { return "" })
 	w.relist()
 	if looks {
-		w.lookAll()
+		w.pollAll()
 	}
 	for _, info := range w.workers {
 		w.runner.Dark(info.ID, true)
@@ -169,7 +169,7 @@
 	for at := range w.workers {
 		w.rebirth(at)
 	}
-	w.lookAll()
+	w.pollAll()
 	w.relist()
 	w.commit()
 	require.Zero(t, w.runner.Starts(), "the task waits")
@@ -202,11 +202,11 @@
 	w.now += 5
 	reading, err := w.send(starts[0])
 	require.NoError(t, err)
-	w.cell.Ordered(starts[0], reading, nil, w.now)
+	w.cell.OrderAnswered(starts[0], reading, nil, w.now)
 	w.now += 5
 	w.cell.Looked(next, report, sentAt, w.now)
 	require.True(t, w.runner.Runs(first("slow")))
-	w.play(slowLasts + 6*cottonlanding.Second)
+	w.play(slowDuration + 6*cottonlanding.Second)
 	require.Empty(t, w.runner.Violations())
 	w.requireState("slow", cottonlanding.WorkflowSucceeded)
 }
@@ -225,8 +225,8 @@
 	reading, err := w.send(stops[0])
 	require.NoError(t, err)
 	w.rebirth(0)
-	w.lookAll()
-	w.cell.Ordered(stops[0], reading, err, w.now)
+	w.pollAll()
+	w.cell.OrderAnswered(stops[0], reading, err, w.now)
 	again := w.cell.Orders(w.now)
 	require.Len(t, again, 1)
 	require.Equal(t, planner.VerbStop, again[0].Verb)
@@ -244,7 +244,7 @@
 	require.True(t, w.runner.Runs(first("slow")))
 	w.rebirth(0)
 	w.takeOver()
-	w.lookAll()
+	w.pollAll()
 	require.Equal(t, int64(1), w.cell.Counts().Lost)
 	w.play(cottonlanding.Second)
 	require.True(t, w.runner.Runs(first("slow")))
--- a/internal/workflow/planner/lives_test.go
+++ b/internal/workflow/planner/lives_test.go
@@ -23,9 +23,9 @@
 		for _, order := range w.cell.Orders(w.now) {
 			require.NotEqual(w.t, w.workers[number].ID, order.Worker.Life.Worker, "%s of %s", order.Verb, order.Start.Task)
 			reading, err := w.send(order)
-			w.cell.Ordered(order, reading, err, w.now)
+			w.cell.OrderAnswered(order, reading, err, w.now)
 		}
-		w.lookAll()
+		w.pollAll()
 	}
 }
 
--- a/internal/workflow/planner/load.go
+++ b/internal/workflow/planner/load.go
@@ -22,10 +22,10 @@
 func (c *Cell) Load(specs, states []cottonlanding.Row, now cottonlanding.Millis) error {
 	byID := make(map[string]cottonlanding.Row, len(states))
 	for _, row := range states {
-		byID[lastPart(row.Key)] = row
+		byID[lastSegment(row.Key)] = row
 	}
 	for _, row := range specs {
-		state, found := byID[lastPart(row.Key)]
+		state, found := byID[lastSegment(row.Key)]
 		if !found {
 			return fmt.Errorf("row %s has no state", row.Key)
 		}
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func lastPart(key cottonlanding.Key) string {
+func lastSegment(key cottonlanding.Key) string {
 	return string(key[strings.LastIndex(string(key), "/")+1:])
 }
 
@@ -58,9 +58,9 @@
 	for number := len(j.rounds); number < state.Rounds.Begun; number++ {
 		j.addRound(number, now)
 	}
-	j.state, j.reason, j.guestOf = state.State, state.Reason, state.GuestOf
+	j.state, j.reason, j.delegatedBy = state.State, state.Reason, state.DelegatedBy
 	j.placed, j.started = state.Placed, state.Started
-	j.committed, j.shown = true, state.State
+	j.persisted, j.committedState = true, state.State
 	j.version, j.specVersion = stateAt.Version, specAt.Version
 	if j.state.Final() {
 		j.ended = now
@@ -75,7 +75,7 @@
 	})
 	j.started = j.started || j.showsStart()
 	for _, r := range j.rounds {
-		r.unlock(now)
+		r.markReady(now)
 		r.unlockGuests()
 	}
 	if !j.state.Final() {
@@ -103,10 +103,10 @@
 	t.state, t.number, t.failures = row.State, row.Number, row.Failures
 	if t.away() {
 		t.job.size.away += len(t.state)
-		t.awayCommitted = true
+		t.delegationCommitted = true
 	}
 	if _, found := t.guestCell(); found {
-		c.away[t.job.ID] = t.job
+		c.remote[t.job.ID] = t.job
 	}
 	t.setLife(row.Life)
 	t.loadCheckpoint(row, now)
--- a/internal/workflow/planner/logbatch.go
+++ b/internal/workflow/planner/logbatch.go
@@ -23,7 +23,7 @@
 func (s *logBatch) recordPlaced(t *task, w *worker, now cottonlanding.Millis) {
 	s.placed = append(s.placed, fmt.Sprintf("%s#%d@%s", t.ref, t.number, w.info.ID))
 	s.lasting = t.stage.Lasting
-	s.waited = max(s.waited, now-t.since)
+	s.waited = max(s.waited, now-t.waitingSince)
 	s.lookAge = max(s.lookAge, now-w.answered)
 }
 
@@ -116,7 +116,7 @@
 // logTakenOver logs which tasks have lost workers under the owners before, each with its counts.
 func (c *Cell) logTakenOver() {
 	var losers []string
-	for _, j := range c.order {
+	for _, j := range c.openJobs {
 		j.eachTask(func(t *task) {
 			if t.crashes != (cottonlanding.CrashRecord{}) && len(losers) < losersTold {
 				losers = append(losers, fmt.Sprintf("%s#%d losses %d crashes %d", t.ref, t.number, t.crashes.Losses, t.crashes.Crashes))
--- a/internal/workflow/planner/logbatch_test.go
+++ b/internal/workflow/planner/logbatch_test.go
@@ -34,7 +34,7 @@
 		var log bytes.Buffer
 		w.log = slog.New(slog.NewJSONHandler(&log, nil))
 		w.takeOver()
-		w.lookAll()
+		w.pollAll()
 		w.submit("lasting", "Urgent", cottonlanding.Step{Tasks: 1, Lasting: true, Resources: cottonlanding.Resources{CPU: 1000}})
 		w.decide(100)
 		w.decide(100) // the start goes out once its plan is committed
@@ -45,10 +45,10 @@
 			order.SentAt = w.now + 500
 			_, err := w.send(order)
 			w.now += 700
-			w.cell.Ordered(order, 0, err, w.now)
+			w.cell.OrderAnswered(order, 0, err, w.now)
 		}
 		w.now += 50
-		w.lookAll()
+		w.pollAll()
 		lines := logged(t, &log, "stopped run ended")
 		require.Len(t, lines, 1)
 		require.Equal(t, "lasting.0.0.0", lines[0]["Task"])
@@ -66,7 +66,7 @@
 		var log bytes.Buffer
 		w.log = slog.New(slog.NewJSONHandler(&log, nil))
 		w.takeOver()
-		w.lookAll()
+		w.pollAll()
 		w.submit("bulk", "Bulk", cottonlanding.Step{Tasks: 3, Resources: cottonlanding.Resources{CPU: 1000}})
 		w.decide(100)
 		lines := logged(t, &log, "tasks placed")
--- a/internal/workflow/planner/look.go
+++ b/internal/workflow/planner/look.go
@@ -173,7 +173,7 @@
 		c.recordRuns(r, now)
 		c.clear(r, now)
 	}
-	if len(report.Ended) >= endsPerAnswer {
+	if len(report.Ended) >= maxEndsPerPoll {
 		return // other ends may have been left out
 	}
 	for _, r := range w.runs.snapshot() {
@@ -184,7 +184,7 @@
 		gone := r.phase == started && r.ackedAt < sentAt
 		if stopped || gone {
 			c.logs.of(r.step).Info("run gone", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "Born", w.born, "Stopped", stopped)
-			c.vanish(r, now)
+			c.dropRun(r, now)
 		}
 	}
 }
--- a/internal/workflow/planner/missed.go
+++ b/internal/workflow/planner/missed.go
@@ -59,7 +59,7 @@
 	if r := d.task.run; r != nil {
 		return now-r.placedAt >= logWaitingAfter
 	}
-	return d.task.state == taskWaiting && now-d.task.since >= logWaitingAfter
+	return d.task.state == taskWaiting && now-d.task.waitingSince >= logWaitingAfter
 }
 
 // logNotStarted logs what is known of a run that was placed and isn't known to go on.
--- a/internal/workflow/planner/move_test.go
+++ b/internal/workflow/planner/move_test.go
@@ -19,7 +19,7 @@
 // other tasks are done.
 func TestFillerThatStandsStillIsMovedSoon(t *testing.T) {
 	now := cottonlanding.Millis(1000)
-	cell := planner.New(planner.Setup{Partition: partition, Epoch: 1, BeforeUntil: now}, timing, selector.Default().Planner, quiet())
+	cell := planner.New(planner.Setup{Partition: partition, Epoch: 1, BeforeUntil: now}, timing, selector.Default().Planner, discardLog())
 	cell.SetQueues(cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{
 		"Serve": {Name: "Serve", Service: "S", Attempts: 3}, "Fill": {Name: "Fill", Service: "S", Priority: 2, Attempts: 2},
 	}})
@@ -54,7 +54,7 @@
 			case order.Verb == planner.VerbStop && stopped == 0:
 				stopped = now
 			}
-			cell.Ordered(order, cottonlanding.Reading(now), nil, now)
+			cell.OrderAnswered(order, cottonlanding.Reading(now), nil, now)
 		}
 	}
 	submit := func(id cottonlanding.WorkflowID, queue cottonlanding.QueueName, step cottonlanding.Step) {
--- a/internal/workflow/planner/neighbours_test.go
+++ b/internal/workflow/planner/neighbours_test.go
@@ -62,7 +62,7 @@
 		for range workers {
 			w.addWorker()
 		}
-		w.started = func(order planner.Order) { n.checkStart(order) }
+		w.onStart = func(order planner.Order) { n.checkStart(order) }
 		w.takeOver()
 		n.cells = append(n.cells, w)
 	}
--- a/internal/workflow/planner/openlife.go
+++ b/internal/workflow/planner/openlife.go
@@ -28,16 +28,16 @@
 	}
 	t.setOpenLife(life)
 	c.awaitNews(t)
-	c.touch(t.job)
+	c.markDirty(t.job)
 }
 
 // awaitNews has the task's open life settled by what is heard of its worker.
 func (c *Cell) awaitNews(t *task) {
 	id := t.openLife.Worker
-	lives := c.open[id]
+	lives := c.openLivesByWorker[id]
 	if lives == nil {
 		lives = new(openLives)
-		c.open[id] = lives
+		c.openLivesByWorker[id] = lives
 	}
 	lives.tasks = append(lives.tasks, t)
 	if w := c.workers[id]; w != nil && w.info.Address != "" {
@@ -74,15 +74,15 @@
 // pruneOpen settles what nothing can tell any more, and forgets what nobody waits for: a worker that is gone for good
 // is never heard.
 func (c *Cell) pruneOpen(now cottonlanding.Millis) {
-	for _, id := range slices.Sorted(maps.Keys(c.open)) {
-		lives := c.open[id]
+	for _, id := range slices.Sorted(maps.Keys(c.openLivesByWorker)) {
+		lives := c.openLivesByWorker[id]
 		if lives.address == "" && c.listRead && c.workers[id] == nil {
 			c.settleOpen(id, hasEnded, now) // its entry was gone before this owner came
 			continue
 		}
 		lives.tasks = slices.DeleteFunc(lives.tasks, func(t *task) bool { return t.openLife.Worker != id || t.job.state.Final() })
 		if len(lives.tasks) == 0 {
-			delete(c.open, id)
+			delete(c.openLivesByWorker, id)
 		}
 	}
 }
@@ -92,11 +92,11 @@
 
 // settleOpen settles the open lives of a worker by which of them have ended.
 func (c *Cell) settleOpen(id cottonlanding.WorkerID, ended func(cottonlanding.Life) bool, now cottonlanding.Millis) {
-	lives := c.open[id]
+	lives := c.openLivesByWorker[id]
 	if lives == nil {
 		return
 	}
-	delete(c.open, id)
+	delete(c.openLivesByWorker, id)
 	var convicted []*task
 	for _, t := range lives.tasks {
 		if t.openLife.Worker != id || t.job.state.Final() {
@@ -109,7 +109,7 @@
 		c.log.Info("silence settled", "Task", t.ref.String(), "Life", t.openLife.String(), "Ended", loss.LifeEnded,
 			"Losses", t.crashes.Losses, "Crashes", t.crashes.Crashes)
 		t.setOpenLife(cottonlanding.Life{})
-		c.touch(t.job)
+		c.markDirty(t.job)
 		if t.crashes.Losses >= mostLosses {
 			convicted = append(convicted, t)
 		}
--- a/internal/workflow/planner/order.go
+++ b/internal/workflow/planner/order.go
@@ -18,17 +18,17 @@
 	VerbPace  Verb = "Pace"
 )
 
-// orderPause is the pause before an order that got no answer is sent again.
-const orderPause = 250 * cottonlanding.Millis(1)
+// orderRetryInterval is the pause before an order that got no answer is sent again.
+const orderRetryInterval = 250 * cottonlanding.Millis(1)
 
-// mostUnseenCopies is how often a start without an answer is repeated before the worker has answered a look. A
+// maxRetriesBeforePoll is how often a start without an answer is repeated before the worker has answered a look. A
 // connection that went silent costs one copy. Each further one may meet another life of the worker,
 // and crash it like the one before, while nobody has missed either.
-const mostUnseenCopies = 1
+const maxRetriesBeforePoll = 1
 
-// mostLateStarts is how often a start that was too late is repeated. The answer tells the worker's clock, and the next
+// maxLateStarts is how often a start that was too late is repeated. The answer tells the worker's clock, and the next
 // start a lease by that: more are late only if that isn't the cause.
-const mostLateStarts = 3
+const maxLateStarts = 3
 
 // Order is something to send to a worker.
 type Order struct {
@@ -49,12 +49,12 @@
 	worker *worker
 }
 
-// ErrUnwanted reports a start that was not sent, because its run is to be stopped.
-var ErrUnwanted = fmt.Errorf("not sent, the run is to be stopped: %w", cottonlanding.ErrUnavailable)
+// ErrObsoleteStart reports a start that was not sent, because its run is to be stopped.
+var ErrObsoleteStart = fmt.Errorf("not sent, the run is to be stopped: %w", cottonlanding.ErrUnavailable)
 
-// Unwanted reports whether the order is a start whose run is to be stopped by now.
+// Obsolete reports whether the order is a start whose run is to be stopped by now.
 // Such an order must not be sent. It may be asked while the cell is busy.
-func (o Order) Unwanted() bool {
+func (o Order) Obsolete() bool {
 	return o.Verb == VerbStart && o.run != nil && o.run.unwanted.Load()
 }
 
@@ -146,11 +146,11 @@
 	case r.phase < started && (c.startsHeld || c.bounds.has(w.info.ID) || w.cordoned() || !w.reachable(now) || !r.task.job.mayStart(now)):
 		// A lease that has passed by this life's clock may be valid by the next one's.
 		return Order{}, false
-	case r.phase == sent && w.answered <= r.sentAt && r.unseenCopies >= mostUnseenCopies:
+	case r.phase == sent && w.answered <= r.sentAt && r.unseenCopies >= maxRetriesBeforePoll:
 		return Order{}, false // the next look shows what became of the copies
 	case r.phase == cleared || r.phase == sent:
 		order.Verb = VerbStart
-		r.countCopy(w)
+		r.countRetry(w)
 		order.Start.Payload = r.task.job.Payload
 		order.Start.LeaseUntil = c.startLease(w, now)
 		order.Start.Checkpoint = c.startCheckpoint(w, r, now)
@@ -171,8 +171,8 @@
 	r.firstSentAt = cmp.Or(r.firstSentAt, now)
 }
 
-// countCopy counts the starts that are repeated although the worker has answered no look since the last one.
-func (r *run) countCopy(w *worker) {
+// countRetry counts the starts that are repeated although the worker has answered no look since the last one.
+func (r *run) countRetry(w *worker) {
 	if r.phase == sent && w.answered <= r.sentAt {
 		r.unseenCopies++
 		return
@@ -180,8 +180,8 @@
 	r.unseenCopies = 0
 }
 
-// Ordered takes in what became of an order.
-func (c *Cell) Ordered(order Order, reading cottonlanding.Reading, err error, now cottonlanding.Millis) {
+// OrderAnswered takes in what became of an order.
+func (c *Cell) OrderAnswered(order Order, reading cottonlanding.Reading, err error, now cottonlanding.Millis) {
 	c.absolve(order, err)
 	order.recordStartTaken(err)
 	w := c.workers[order.Worker.Life.Worker]
@@ -209,7 +209,7 @@
 	switch {
 	case errors.Is(err, cottonlanding.ErrOtherLife):
 		if order.Verb == VerbStart && r.phase == sent && !r.doubtful {
-			c.neverSent(r, now) // the life was over before it could take the run, which has no part in its end
+			c.dropNeverStarted(r, now) // the life was over before it could take the run, which has no part in its end
 		}
 		if order.Worker == w.ref() {
 			c.lifeEnded(w, now)
@@ -234,7 +234,7 @@
 	}
 	if w.clockRegressed(reading, order.SentAt) {
 		w.unsure = true
-		w.bound = max(w.bound, now+stretched(c.timing.LongestLease))
+		w.bound = max(w.bound, now+stretched(c.timing.MaxLease))
 	}
 	w.read(reading, now)
 }
@@ -246,7 +246,7 @@
 		r.pace = percent
 		return
 	}
-	r.pace, r.nextTry = unknownPace, now+orderPause
+	r.pace, r.nextTry = unknownPace, now+orderRetryInterval
 	if errors.Is(err, cottonlanding.ErrAmbiguous) {
 		r.reaffirmAt = now + reaffirmAfter
 	}
@@ -261,20 +261,20 @@
 			c.counts.Starts++
 			c.recordRuns(r, now)
 		}
-	case errors.Is(err, ErrUnwanted):
+	case errors.Is(err, ErrObsoleteStart):
 		if !r.doubtful {
-			c.neverSent(r, now) // else an earlier copy may start it, and it must be stopped
+			c.dropNeverStarted(r, now) // else an earlier copy may start it, and it must be stopped
 		}
 	case errors.Is(err, cottonlanding.ErrConflict):
 		// It ended there; the next look lists the end, or shows that it was noted.
 		r.phase, r.ackedAt = started, now
-	case errors.Is(err, cottonlanding.ErrLate) && r.lateStarts < mostLateStarts:
+	case errors.Is(err, cottonlanding.ErrLate) && r.lateStarts < maxLateStarts:
 		r.lateStarts++
-		r.nextTry = now + orderPause
+		r.nextTry = now + orderRetryInterval
 	case errors.Is(err, cottonlanding.ErrAmbiguous):
 		r.doubtful = true
 		r.unansweredStarts++
-		r.nextTry = now + orderPause
+		r.nextTry = now + orderRetryInterval
 	default:
 		c.startRefused(w, r, err, now)
 	}
@@ -291,13 +291,13 @@
 		c.stop(r, "its worker refused it", now)
 		return
 	}
-	w.blockedUntil = now + orderPause
-	c.neverSent(r, now)
+	w.blockedUntil = now + orderRetryInterval
+	c.dropNeverStarted(r, now)
 }
 
-// neverSent ends a run that its worker surely never starts, and all of its gang with it.
-func (c *Cell) neverSent(r *run, now cottonlanding.Millis) {
-	c.vanish(r, now)
+// dropNeverStarted ends a run that its worker surely never starts, and all of its gang with it.
+func (c *Cell) dropNeverStarted(r *run, now cottonlanding.Millis) {
+	c.dropRun(r, now)
 	c.takeBackGang(r, now)
 }
 
@@ -312,7 +312,7 @@
 		}
 		return
 	}
-	r.nextStop = now + orderPause
+	r.nextStop = now + orderRetryInterval
 }
 
 // Superseded reports whether a worker has seen a newer owner.
--- a/internal/workflow/planner/outlook.go
+++ b/internal/workflow/planner/outlook.go
@@ -16,16 +16,16 @@
 
 // ahead returns the outlook of a workflow.
 func (j *job) ahead() outlook {
-	if j.outlook == nil {
-		j.outlook = &outlook{}
-		j.outlook.work, j.outlook.left = j.work()
+	if j.forecast == nil {
+		j.forecast = &outlook{}
+		j.forecast.work, j.forecast.left = j.work()
 		if j.queue.Stretch > 0 {
 			chain := j.longestChain(func(*stage) bool { return true })
-			j.outlook.objective = cottonlanding.Millis(j.queue.Stretch*float64(chain)) + j.queue.LatencyTarget
-			j.outlook.chainLeft = j.longestChain(func(s *stage) bool { return !s.finished() })
+			j.forecast.objective = cottonlanding.Millis(j.queue.Stretch*float64(chain)) + j.queue.LatencyTarget
+			j.forecast.chainLeft = j.longestChain(func(s *stage) bool { return !s.finished() })
 		}
 	}
-	return *j.outlook
+	return *j.forecast
 }
 
 // slack is how much longer a workflow may wait to be done in its time, negative for one that
--- a/internal/workflow/planner/ownersinseries_test.go
+++ b/internal/workflow/planner/ownersinseries_test.go
@@ -38,14 +38,14 @@
 	w.decide(turnSpan)
 	for _, info := range w.workers {
 		if info.ID != id {
-			w.look(info.ID, true)
+			w.poll(info.ID, true)
 			continue
 		}
 		if *hangsSince == 0 {
 			*hangsSince = w.now
 		}
 		if w.now-*hangsSince >= lookTakes {
-			w.look(id, true)
+			w.poll(id, true)
 			*hangsSince = w.now
 		}
 	}
@@ -143,7 +143,7 @@
 	w := newLastingWorld(t)
 	// The first owner may own the cell for 4 s more by its last beat, and is cut off from the table.
 	w.ownedFor = 4000
-	w.tellOwned()
+	w.renewOwnership()
 	firstUntil := w.now + 4000
 	firstCell := w.cell
 	firstLook := func() {
@@ -185,7 +185,7 @@
 // lookUnless looks at a worker, or fails the look.
 func (w *world) lookUnless(id, silent cottonlanding.WorkerID) {
 	if id != silent {
-		w.look(id, true)
+		w.poll(id, true)
 		return
 	}
 	if next, found := w.cell.NextLook(id, w.now); found && next.After == 0 {
--- a/internal/workflow/planner/place.go
+++ b/internal/workflow/planner/place.go
@@ -44,14 +44,14 @@
 // beginRounds makes the rounds of schedules whose time has come. One for which the row has no
 // room waits until earlier ones are finished.
 func (c *Cell) beginRounds(now cottonlanding.Millis, wall int64) {
-	for _, j := range c.order {
+	for _, j := range c.openJobs {
 		for next := len(j.rounds); next < j.Schedule.Rounds; next++ {
 			due := j.Schedule.First + int64(next)*int64(j.Schedule.Interval)
 			if wall < due || !j.hasRoomForRound() {
 				break
 			}
 			j.addRound(next, now)
-			c.touch(j)
+			c.markDirty(j)
 			c.log.Info("round begun", "Workflow", j.ID, "Round", next, "Due", due, "TimeOfDay", wall)
 		}
 	}
@@ -146,10 +146,10 @@
 // noRoom looks for what can be done for a task that found no worker, from time
 // to time: the workers change little in between.
 func (c *Cell) noRoom(t *task, now cottonlanding.Millis) {
-	if now < t.stage.noRoomAt {
+	if now < t.stage.nextRoomTry {
 		return
 	}
-	t.stage.noRoomAt = now + noRoomPause
+	t.stage.nextRoomTry = now + noRoomPause
 	if !t.job.hasRoomForLives(widestLife) {
 		c.logRowFull(t, now)
 		return // nothing is to give way for a task that may not be placed
@@ -163,7 +163,7 @@
 func (c *Cell) assign(t *task, w *worker, number cottonlanding.RunNumber, now cottonlanding.Millis) {
 	t.state, t.number = taskAssigned, number
 	t.setLife(w.life())
-	t.roomUntil = 0
+	t.preemptionUntil = 0
 	t.fixCheckpoint()
 	key := cottonlanding.RunKey{Task: t.ref, Number: number}
 	t.run = &run{RunKey: key, task: t, worker: w, life: w, born: t.life.Born, step: t.stage.Step, pace: fullPace, paceGoal: fullPace, placedAt: now, moved: now}
@@ -172,8 +172,8 @@
 	if t.job.state == cottonlanding.WorkflowPending {
 		t.job.state = cottonlanding.WorkflowRunning
 	}
-	c.touch(t.job)
-	c.due.recordTaken(t)
+	c.markDirty(t.job)
+	c.reserved.recordTaken(t)
 	c.recordBegun(t, w, now)
 	c.logBatch.recordPlaced(t, w, now)
 }
@@ -302,7 +302,7 @@
 	view := cottonlanding.TaskView{
 		ID:        cottonlanding.TaskID{Job: cottonlanding.JobName(t.ref.Workflow), Index: t.ref.Index},
 		Resources: t.stage.Resources,
-		Queued:    t.since,
+		Queued:    t.waitingSince,
 	}
 	at := c.policy.placement(kindOf(t.stage.Step)).Place(view, views)
 	if at < 0 || at >= len(candidates) {
@@ -321,7 +321,7 @@
 // nothing running for a while: the one that bears it best. It is slowed there as
 // far as the serving tasks need it.
 func (c *Cell) pickStarved(t *task, now cottonlanding.Millis) *worker {
-	if !t.stage.Fills || now-t.since < starvedAfter || now < t.stage.noRoomAt || t.job.anyRun() {
+	if !t.stage.Fills || now-t.waitingSince < starvedAfter || now < t.stage.nextRoomTry || t.job.anyRun() {
 		return nil
 	}
 	var best *worker
--- a/internal/workflow/planner/place_test.go
+++ b/internal/workflow/planner/place_test.go
@@ -91,7 +91,7 @@
 		w := newWorld(t)
 		w.workers[0].Capacity.CPU = 2_000_000
 		w.cell.SetWorkers(slices.Clone(w.workers), w.now)
-		w.lookAll()
+		w.pollAll()
 		tasks := rapid.IntRange(600, 1000).Draw(t, "Tasks")
 		w.submit("slow", "Urgent", cottonlanding.Step{Tasks: tasks, Resources: cottonlanding.Resources{CPU: 100}})
 		placed := 0
--- a/internal/workflow/planner/plan.go
+++ b/internal/workflow/planner/plan.go
@@ -13,17 +13,17 @@
 const (
 	specPrefix  = "Specs/"
 	statePrefix = "States/"
-	// writesPerPlan bounds the rows of one transaction, below the table's 100 entries:
+	// maxPlanWrites bounds the rows of one transaction, below the table's 100 entries:
 	// the guard, the lane, what was learnt of images and the lease bounds take six.
-	writesPerPlan = 90
-	// bytesPerPlan is how long the values of a plan get before nothing large is added: in
+	maxPlanWrites = 90
+	// maxPlanBytes is how long the values of a plan get before nothing large is added: in
 	// base64, with another job and what was learnt, they stay below the table's 1 MB.
-	bytesPerPlan = 550_000
-	// writesPerJob is the most rows that one job takes.
-	writesPerJob = 2
-	// overdueAfter is how many plans a change may be left out of before it goes first,
+	maxPlanBytes = 550_000
+	// maxJobWrites is the most rows that one job takes.
+	maxJobWrites = 2
+	// maxSkippedPlans is how many plans a change may be left out of before it goes first,
 	// so that urgent ones can't keep the others waiting for long.
-	overdueAfter = 4
+	maxSkippedPlans = 4
 )
 
 // SpecKey and StateKey name a workflow's rows.
@@ -51,10 +51,10 @@
 	Placed bool `json:"Begun,omitempty"`
 	// Started is written with the next change of something else: see Cell.Waiting.
 	Started bool `json:",omitempty"`
-	// GuestOf is the cell that keeps the workflow, in a guest's row.
-	GuestOf *cottonlanding.CellNumber `json:",omitempty"`
-	Rounds  roundCount                `json:",omitzero"`
-	Tasks   []taskRow                 `json:",omitempty"`
+	// DelegatedBy is the cell that keeps the workflow, in a guest's row.
+	DelegatedBy *cottonlanding.CellNumber `json:"GuestOf,omitempty"`
+	Rounds      roundCount                `json:",omitzero"`
+	Tasks       []taskRow                 `json:",omitempty"`
 }
 
 // taskRow is written as a list of its fields without the zeros at its end: a row has
@@ -124,11 +124,11 @@
 	states  []cottonlanding.WorkflowState
 	deleted []bool
 	runs    []*run
-	// away holds the tasks whose guest cells the rows name.
-	away    []*task
-	replies []func(error)
-	// seen holds the ends whose consequences are committed with this plan.
-	seen map[*worker]uint64
+	// remote holds the tasks whose guest cells the rows name.
+	remote    []*task
+	callbacks []func(error)
+	// recordedEnds holds the ends whose consequences are committed with this plan.
+	recordedEnds map[*worker]uint64
 	// referred lists the referrals among the writes.
 	referred []cottonlanding.WorkflowID
 	// learnt says that the row of what was learnt of images is among the writes.
@@ -141,7 +141,7 @@
 
 // hasRoom reports whether another few rows can go into the plan.
 func (p *Plan) hasRoom(writes int) bool {
-	return len(p.Writes)+writes <= writesPerPlan && p.size < bytesPerPlan
+	return len(p.Writes)+writes <= maxPlanWrites && p.size < maxPlanBytes
 }
 
 // add puts rows into the plan and counts what they take.
@@ -161,24 +161,24 @@
 	if c.inFlight != nil {
 		return nil
 	}
-	if _, due := c.boundsDue(now); !due && len(c.dirty) == 0 && len(c.unwritten) == 0 && !c.learntDue(now) {
-		c.recordSeen(c.notedEnds())
+	if _, due := c.boundsDue(now); !due && len(c.dirty) == 0 && len(c.unplannedReferrals) == 0 && !c.learntDue(now) {
+		c.recordCommittedEnds(c.uncommittedEnds())
 		return nil
 	}
 	c.plans++
 	plan := &Plan{Checks: []cottonlanding.Check{c.setup.Guard}}
 	c.planReferrals(plan)
 	for _, id := range c.dirtyInOrder() {
-		if !plan.hasRoom(writesPerJob) {
+		if !plan.hasRoom(maxJobWrites) {
 			break
 		}
 		c.planJob(plan, c.dirty[id], now)
 		delete(c.dirty, id)
-		plan.replies = append(plan.replies, c.replies[id]...)
-		delete(c.replies, id)
+		plan.callbacks = append(plan.callbacks, c.callbacks[id]...)
+		delete(c.callbacks, id)
 	}
 	if len(c.dirty) == 0 {
-		plan.seen = c.notedEnds()
+		plan.recordedEnds = c.uncommittedEnds()
 	}
 	c.planLearnt(plan, now)
 	c.planBounds(plan, now)
@@ -202,7 +202,7 @@
 }
 
 // overdue reports whether a job's change was left out of several plans.
-func (c *Cell) overdue(j *job) bool { return c.plans-j.dirtySince > overdueAfter }
+func (c *Cell) overdue(j *job) bool { return c.plans-j.dirtySince > maxSkippedPlans }
 
 func (c *Cell) planJob(plan *Plan, j *job, now cottonlanding.Millis) {
 	spec, state := c.rowKeys(j)
@@ -216,7 +216,7 @@
 			cottonlanding.Write{Key: state, Expect: j.version, Delete: true, Unchecked: true})
 		return
 	}
-	if !j.committed {
+	if !j.persisted {
 		plan.add(cottonlanding.Write{Key: spec, Value: j.spec, Unchecked: true})
 	}
 	plan.add(cottonlanding.Write{Key: state, Expect: j.version, Value: encodeFitting(j.row()), Unchecked: true})
@@ -225,7 +225,7 @@
 			plan.runs = append(plan.runs, t.run)
 		}
 		if _, found := t.guestCell(); found {
-			plan.away = append(plan.away, t)
+			plan.remote = append(plan.remote, t)
 		}
 	})
 }
@@ -252,12 +252,12 @@
 // of one that failed or was cancelled may still run.
 func (j *job) row() stateRow {
 	row := stateRow{
-		State:   j.state,
-		Reason:  shortened(j.reason),
-		Placed:  j.placed,
-		Started: j.started,
-		GuestOf: j.guestOf,
-		Rounds:  roundCount{Begun: len(j.rounds)},
+		State:       j.state,
+		Reason:      shortened(j.reason),
+		Placed:      j.placed,
+		Started:     j.started,
+		DelegatedBy: j.delegatedBy,
+		Rounds:      roundCount{Begun: len(j.rounds)},
 	}
 	if j.state == cottonlanding.WorkflowSucceeded {
 		return row
@@ -281,7 +281,7 @@
 	return data
 }
 
-func (c *Cell) notedEnds() map[*worker]uint64 {
+func (c *Cell) uncommittedEnds() map[*worker]uint64 {
 	out := make(map[*worker]uint64)
 	for _, w := range c.sortedWorkers() {
 		if w.noted > w.seen {
@@ -291,8 +291,8 @@
 	return out
 }
 
-func (c *Cell) recordSeen(seen map[*worker]uint64) {
-	for w, serial := range seen {
+func (c *Cell) recordCommittedEnds(committedEnd map[*worker]uint64) {
+	for w, serial := range committedEnd {
 		w.seen = max(w.seen, serial)
 	}
 }
@@ -305,10 +305,10 @@
 			delete(c.jobs, j.ID)
 			continue
 		}
-		if !j.committed {
+		if !j.persisted {
 			j.specVersion, j.spec = version, nil
 		}
-		j.committed, j.version, j.shown = true, version, plan.states[i]
+		j.persisted, j.version, j.committedState = true, version, plan.states[i]
 	}
 	for _, r := range plan.runs {
 		if r.phase == planned {
@@ -316,9 +316,9 @@
 			r.worker.ordersDue = true
 		}
 	}
-	for _, t := range plan.away {
-		c.guestNews = c.guestNews || !t.awayCommitted || t.job.shown.Final()
-		t.awayCommitted = true
+	for _, t := range plan.remote {
+		c.delegationChanged = c.delegationChanged || !t.delegationCommitted || t.job.committedState.Final()
+		t.delegationCommitted = true
 	}
 	c.recordReferred(plan.referred, version)
 	if plan.learnt {
@@ -327,12 +327,12 @@
 	if plan.bounds {
 		c.recordBounds(version)
 	}
-	c.recordSeen(plan.seen)
-	answer(plan.replies, nil)
+	c.recordCommittedEnds(plan.recordedEnds)
+	callAll(plan.callbacks, nil)
 }
 
-// Seen reports whether all ends that the worker listed have been committed.
-func (c *Cell) Seen(id cottonlanding.WorkerID) bool {
+// EndsCommitted reports whether all ends that the worker listed have been committed.
+func (c *Cell) EndsCommitted(id cottonlanding.WorkerID) bool {
 	w := c.workers[id]
 	return w == nil || w.noted == w.seen
 }
--- a/internal/workflow/planner/playedcell_test.go
+++ b/internal/workflow/planner/playedcell_test.go
@@ -24,9 +24,9 @@
 
 // platformTiming holds the spans of the owners on the users' platform.
 var platformTiming = planner.Timing{
-	Lease: 6 * cottonlanding.Second, LongestLease: 10 * cottonlanding.Second, CutOffGrace: 2 * cottonlanding.Second,
-	LeaseTail:   7 * cottonlanding.Second,
-	StopTimeout: 300, Retention: 10 * cottonlanding.Minute,
+	Lease: 6 * cottonlanding.Second, MaxLease: 10 * cottonlanding.Second, CutOffGrace: 2 * cottonlanding.Second,
+	MaxLeasePastOwnership: 7 * cottonlanding.Second,
+	StopTimeout:           300, Retention: 10 * cottonlanding.Minute,
 }
 
 // sentLook is a look whose answer the worker may hold back until an instant.
@@ -74,7 +74,7 @@
 
 func newPlayedCell(w *world, random *rand.Rand) *playedCell {
 	w.timing, w.ownedFor = platformTiming, ownerTTL
-	w.runner.CutLeases(platformTiming.LongestLease)
+	w.runner.CutLeases(platformTiming.MaxLease)
 	return &playedCell{
 		world:       w,
 		random:      random,
@@ -105,7 +105,7 @@
 	}
 	if p.now >= p.silentTableUntil { // a beat goes out, and its answer tells the table's clock
 		p.cell.SetTableClock(p.tableClock())
-		p.tellOwned()
+		p.renewOwnership()
 	}
 	p.takeAnswers()
 	p.cell.HoldStarts(p.now < p.heldUntil)
@@ -200,7 +200,7 @@
 	due := slices.DeleteFunc(slices.Clone(p.answers), func(a sentOrder) bool { return p.now < a.at })
 	p.answers = slices.DeleteFunc(p.answers, func(a sentOrder) bool { return p.now >= a.at })
 	for _, answer := range due {
-		p.cell.Ordered(answer.Order, answer.reading, answer.err, p.now)
+		p.cell.OrderAnswered(answer.Order, answer.reading, answer.err, p.now)
 	}
 }
 
@@ -219,8 +219,8 @@
 	for _, order := range p.cell.Orders(p.now) {
 		order.SentAt = p.now
 		sent := sentOrder{Order: order, at: p.now}
-		if order.Unwanted() {
-			sent.err = planner.ErrUnwanted
+		if order.Obsolete() {
+			sent.err = planner.ErrObsoleteStart
 		} else {
 			p.sendOrder(&sent)
 		}
--- a/internal/workflow/planner/policy.go
+++ b/internal/workflow/planner/policy.go
@@ -19,12 +19,12 @@
 	Blame cottonlanding.BlamePolicy
 	// Delegation decides which cell runs a lasting task for which this one has no room; nil is none.
 	Delegation cottonlanding.DelegationPolicy
-	// KeepsTogether says that tasks of a workflow that don't last go to one data centre if
+	// KeepsInOneDataCentre says that tasks of a workflow that don't last go to one data centre if
 	// that has room, rather than wherever there is.
-	KeepsTogether bool
-	// WatchesPlaces says that nothing is started in a data centre whose workers fall silent
+	KeepsInOneDataCentre bool
+	// WatchesDataCentres says that nothing is started in a data centre whose workers fall silent
 	// together, rather than on each worker that was found silent.
-	WatchesPlaces bool
+	WatchesDataCentres bool
 }
 
 // placement returns the policy that places tasks of a kind.
--- a/internal/workflow/planner/preempt.go
+++ b/internal/workflow/planner/preempt.go
@@ -28,7 +28,7 @@
 // makeRoom stops runs of less urgent queues on the worker where that loses the
 // least, unless room is being made already.
 func (c *Cell) makeRoom(t *task, now cottonlanding.Millis) {
-	if now < t.roomUntil || t.stage.Fills {
+	if now < t.preemptionUntil || t.stage.Fills {
 		return
 	}
 	var best []*run
@@ -48,7 +48,7 @@
 	if best == nil {
 		return
 	}
-	t.roomUntil = now + roomPatience
+	t.preemptionUntil = now + roomPatience
 	for _, r := range best {
 		c.counts.Evicted++
 		c.stop(r, "it gives way to "+t.ref.String(), now)
@@ -94,7 +94,7 @@
 		return false
 	}
 	best.keptFor, best.keptUntil = t, now+keepFor
-	c.log.Info("capacity reserved", "Task", t.ref.String(), "Worker", best.info.ID, "Waited", now-t.since, "Free", int64(c.room(best, now).free.CPU))
+	c.log.Info("capacity reserved", "Task", t.ref.String(), "Worker", best.info.ID, "Waited", now-t.waitingSince, "Free", int64(c.room(best, now).free.CPU))
 	return true
 }
 
@@ -102,7 +102,7 @@
 // interrupted at once each has its time, so that they don't wait for one another. Where lasting tasks hold most of the
 // room, short ones make way for few of them, and what is kept would be missing to smaller ones here and in other cells.
 func (c *Cell) mostKept(t *task, now cottonlanding.Millis) int {
-	if t.claim(now) == brokenClaim && !c.due.little(t) {
+	if t.claim(now) == brokenClaim && !c.reserved.little(t) {
 		return max(1, len(c.workers)/workersPerInterrupted)
 	}
 	return max(1, len(c.workers)/workersPerKept)
@@ -145,12 +145,12 @@
 
 // justInterrupted reports whether the run of a lasting task has ended just now.
 func (t *task) justInterrupted(now cottonlanding.Millis) bool {
-	return t.stage.Lasting && t.state == taskWaiting && t.number > 0 && now-t.since < interruptedFor
+	return t.stage.Lasting && t.state == taskWaiting && t.number > 0 && now-t.waitingSince < interruptedFor
 }
 
 // compareTurns orders tasks by their claims, then by how long they wait.
 func compareTurns(a, b *task, now cottonlanding.Millis) int {
-	return cmp.Or(cmp.Compare(b.claim(now), a.claim(now)), cmp.Compare(a.since, b.since))
+	return cmp.Or(cmp.Compare(b.claim(now), a.claim(now)), cmp.Compare(a.waitingSince, b.waitingSince))
 }
 
 // passing returns the room of a worker beside its lasting tasks: what is free or
--- a/internal/workflow/planner/pressure_test.go
+++ b/internal/workflow/planner/pressure_test.go
@@ -61,7 +61,7 @@
 // takeOver makes a new owner from the committed rows.
 func (s *shared) takeOver() {
 	s.epoch++
-	s.cell = planner.New(planner.Setup{Partition: partition, Epoch: s.epoch, BeforeUntil: s.now}, timing, s.policy, quiet())
+	s.cell = planner.New(planner.Setup{Partition: partition, Epoch: s.epoch, BeforeUntil: s.now}, timing, s.policy, discardLog())
 	s.cell.SetQueues(cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{
 		"Serve": {Name: "Serve", Service: "S", Attempts: 3},
 		"Fill":  {Name: "Fill", Service: "S", Priority: 2, Attempts: 2, Stretch: 2, LatencyTarget: 1000},
@@ -127,7 +127,7 @@
 		case planner.VerbStop:
 			delete(s.runs, order.Start.RunKey)
 		}
-		s.cell.Ordered(order, 0, nil, s.now)
+		s.cell.OrderAnswered(order, 0, nil, s.now)
 	}
 	if s.busy() > 1-tailBase/float64(target) && s.serving() {
 		s.over += 100
--- a/internal/workflow/planner/rank.go
+++ b/internal/workflow/planner/rank.go
@@ -15,9 +15,9 @@
 
 // rankAll works out anew where each open workflow goes among those of its priority.
 func (c *Cell) rankAll(now cottonlanding.Millis) {
-	for _, j := range c.order {
-		j.missed = j.lasts && j.missesTask(now)
-		if j.lasts || j.Schedule.Rounds > 0 {
+	for _, j := range c.openJobs {
+		j.interrupted = j.hasLasting && j.missesTask(now)
+		if j.hasLasting || j.Schedule.Rounds > 0 {
 			j.rank = cottonlanding.Rank{Class: asInt(j.late(now)), Score: j.lastingScore()}
 			continue
 		}
@@ -26,7 +26,7 @@
 }
 
 func (j *job) lastingScore() float64 {
-	if j.lasts && j.placed {
+	if j.hasLasting && j.placed {
 		return placedScore
 	}
 	return 0
@@ -37,7 +37,7 @@
 func compareRanks(a, b *job) int {
 	return cmp.Or(
 		cmp.Compare(a.queue.Priority, b.queue.Priority),
-		cmp.Compare(asInt(b.missed), asInt(a.missed)),
+		cmp.Compare(asInt(b.interrupted), asInt(a.interrupted)),
 		cmp.Compare(a.rank.Class, b.rank.Class),
 		cmp.Compare(a.rank.Score, b.rank.Score),
 		cmp.Compare(a.sequence, b.sequence),
--- a/internal/workflow/planner/rebirth_test.go
+++ b/internal/workflow/planner/rebirth_test.go
@@ -124,7 +124,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := bornWorld(t)
 		w.runner.CutLeases(w.timing.Lease + 4*cottonlanding.Second)
-		w.timing.LongestLease = w.timing.Lease + 4*cottonlanding.Second
+		w.timing.MaxLease = w.timing.Lease + 4*cottonlanding.Second
 		w.takeOver()
 		submitted := 0
 		fault := func() string {
@@ -144,8 +144,8 @@
 				w.dropStale()
 			},
 			"relist":  func(*rapid.T) { w.relist() },
-			"look":    func(t *rapid.T) { w.look(w.workers[worker()].ID, rapid.IntRange(0, 3).Draw(t, "Answered") > 0) },
-			"lookAll": func(*rapid.T) { w.lookAll() },
+			"look":    func(t *rapid.T) { w.poll(w.workers[worker()].ID, rapid.IntRange(0, 3).Draw(t, "Answered") > 0) },
+			"lookAll": func(*rapid.T) { w.pollAll() },
 			"dark":    func(t *rapid.T) { w.runner.Dark(w.workers[worker()].ID, rapid.Bool().Draw(t, "Dark")) },
 			"takeOver": func(*rapid.T) {
 				w.takeOver()
--- a/internal/workflow/planner/referral.go
+++ b/internal/workflow/planner/referral.go
@@ -78,34 +78,34 @@
 	switch {
 	case !found:
 		c.referrals[id] = &referral{cell: to, since: now}
-		c.unwritten[id] = append(c.unwritten[id], done)
+		c.unplannedReferrals[id] = append(c.unplannedReferrals[id], done)
 		c.counts.Referred++
 		c.log.Info("workflow referred", "Workflow", id, "To", to, "Epoch", c.setup.Epoch)
-	case known.gone && c.unwritten[id] != nil:
+	case known.gone && c.unplannedReferrals[id] != nil:
 		known.gone = false // it is handed in once more
-		delete(c.unwritten, id)
+		delete(c.unplannedReferrals, id)
 		done(nil)
 	case known.gone:
 		done(fmt.Errorf("the referral of workflow %s is being forgotten: %w", id, cottonlanding.ErrUnavailable))
 	case known.version > 0:
 		done(nil)
-	case c.unwritten[id] != nil:
-		c.unwritten[id] = append(c.unwritten[id], done)
+	case c.unplannedReferrals[id] != nil:
+		c.unplannedReferrals[id] = append(c.unplannedReferrals[id], done)
 	default:
-		c.inFlight.replies = append(c.inFlight.replies, done)
+		c.inFlight.callbacks = append(c.inFlight.callbacks, done)
 	}
 }
 
 // planReferrals adds referrals to a plan, as many as fit.
 func (c *Cell) planReferrals(plan *Plan) {
-	for _, id := range slices.Sorted(maps.Keys(c.unwritten)) {
+	for _, id := range slices.Sorted(maps.Keys(c.unplannedReferrals)) {
 		if !plan.hasRoom(writesPerReferral) {
 			return
 		}
 		plan.add(c.referralWrites(id)...)
 		plan.referred = append(plan.referred, id)
-		plan.replies = append(plan.replies, c.unwritten[id]...)
-		delete(c.unwritten, id)
+		plan.callbacks = append(plan.callbacks, c.unplannedReferrals[id]...)
+		delete(c.unplannedReferrals, id)
 	}
 }
 
@@ -168,7 +168,7 @@
 		return
 	}
 	known.gone = true
-	c.unwritten[id] = []func(error){}
+	c.unplannedReferrals[id] = []func(error){}
 }
 
 // LoadReferrals takes in the referrals of owners before.
@@ -178,7 +178,7 @@
 		if err := json.Unmarshal(row.Value, &value); err != nil {
 			return fmt.Errorf("row %s: %w", row.Key, err)
 		}
-		c.referrals[cottonlanding.WorkflowID(lastPart(row.Key))] = &referral{cell: value.Cell, version: row.Version, since: now, pending: value.Workflow}
+		c.referrals[cottonlanding.WorkflowID(lastSegment(row.Key))] = &referral{cell: value.Cell, version: row.Version, since: now, pending: value.Workflow}
 	}
 	return nil
 }
--- a/internal/workflow/planner/referral_test.go
+++ b/internal/workflow/planner/referral_test.go
@@ -29,7 +29,7 @@
 	if h.cell != nil {
 		h.cell.Abandon(cottonlanding.ErrAmbiguous)
 	}
-	h.cell = planner.New(planner.Setup{Partition: partition, Epoch: 1}, timing, selector.Default().Planner, quiet())
+	h.cell = planner.New(planner.Setup{Partition: partition, Epoch: 1}, timing, selector.Default().Planner, discardLog())
 	var rows []cottonlanding.Row
 	for _, row := range h.rows {
 		rows = append(rows, row)
--- a/internal/workflow/planner/removedqueue_test.go
+++ b/internal/workflow/planner/removedqueue_test.go
@@ -13,9 +13,9 @@
 // Operators remove a queue of which a workflow waits. It is kept with the queue as that was, and
 // done. Another cell, which has to be told of it as of a new one, refuses a workflow of a queue that
 // it doesn't know: handed over, it was told again and again, and waited for good.
-func TestWorkflowOfARemovedQueueStays(t *testing.T) {
+func TestWorkflowOfRemovedQueueStays(t *testing.T) {
 	owner := func() *planner.Cell {
-		return planner.New(planner.Setup{Partition: partition, Epoch: 1}, timing, selector.Default().Planner, quiet())
+		return planner.New(planner.Setup{Partition: partition, Epoch: 1}, timing, selector.Default().Planner, discardLog())
 	}
 	home, other := owner(), owner()
 	home.SetQueues(cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{"Q": {Name: "Q", Service: "S"}}})
--- a/internal/workflow/planner/report.go
+++ b/internal/workflow/planner/report.go
@@ -7,13 +7,13 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// reportEvery is how often what is left of a cell is worked out for others: as often as
+// reportInterval is how often what is left of a cell is worked out for others: as often as
 // an owner sends a beat.
-const reportEvery = 300 * cottonlanding.Millis(1)
+const reportInterval = 300 * cottonlanding.Millis(1)
 
-// holesTold bounds the holes of a service in a report. So many tasks may be delegated to a cell that is full
+// maxReportedHoles bounds the holes of a service in a report. So many tasks may be delegated to a cell that is full
 // in sum before it tells of its holes anew.
-const holesTold = 8
+const maxReportedHoles = 8
 
 // Report says how much of its workers a cell has left, as parts of their processors.
 type Report struct {
@@ -37,14 +37,14 @@
 
 // Report returns what is left of the cell, and false for one without usable workers.
 func (c *Cell) Report(now cottonlanding.Millis) (Report, bool) {
-	if c.reportedAt == 0 || now-c.reportedAt >= reportEvery {
+	if c.reportedAt == 0 || now-c.reportedAt >= reportInterval {
 		c.reportedAt = now
-		c.report, c.reportable = c.workOutReport(now)
+		c.report, c.reportable = c.computeReport(now)
 	}
 	return c.report, c.reportable
 }
 
-func (c *Cell) workOutReport(now cottonlanding.Millis) (Report, bool) {
+func (c *Cell) computeReport(now cottonlanding.Millis) (Report, bool) {
 	var capacity, free, spare, lasting cottonlanding.Millicores
 	largest := make(map[cottonlanding.ServiceName]cottonlanding.Resources)
 	holes := make(map[cottonlanding.ServiceName][]cottonlanding.Millicores)
@@ -68,7 +68,7 @@
 	if capacity == 0 {
 		return Report{}, false
 	}
-	for _, j := range c.order {
+	for _, j := range c.openJobs {
 		for number := range len(j.rounds) {
 			for _, s := range j.rounds[number].steps {
 				if !s.ready || s.finished() {
@@ -100,7 +100,7 @@
 func largestHoles(holes map[cottonlanding.ServiceName][]cottonlanding.Millicores) map[cottonlanding.ServiceName][]cottonlanding.Millicores {
 	for service, sizes := range holes {
 		slices.SortFunc(sizes, func(a, b cottonlanding.Millicores) int { return cmp.Compare(b, a) })
-		holes[service] = sizes[:min(len(sizes), holesTold)]
+		holes[service] = sizes[:min(len(sizes), maxReportedHoles)]
 	}
 	return holes
 }
--- a/internal/workflow/planner/rowplay_test.go
+++ b/internal/workflow/planner/rowplay_test.go
@@ -65,7 +65,7 @@
 // takeOver makes a new owner from the committed rows.
 func (p *rowPlay) takeOver() {
 	p.epoch++
-	p.cell = planner.New(planner.Setup{Partition: partition, Epoch: p.epoch, BeforeUntil: p.now}, timing, selector.Default().Planner, quiet())
+	p.cell = planner.New(planner.Setup{Partition: partition, Epoch: p.epoch, BeforeUntil: p.now}, timing, selector.Default().Planner, discardLog())
 	p.cell.SetQueues(cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{"Q": {Name: "Q", Service: "S", Attempts: 3}}})
 	p.cell.SetWorkers(p.workers, p.now)
 	var specs, states []cottonlanding.Row
@@ -119,7 +119,7 @@
 			p.starts[order.Start.Task]++
 			p.runs[id] = append(p.runs[id], order.Start.RunKey)
 		}
-		p.cell.Ordered(order, cottonlanding.Reading(p.now), nil, p.now)
+		p.cell.OrderAnswered(order, cottonlanding.Reading(p.now), nil, p.now)
 	}
 }
 
--- a/internal/workflow/planner/rows_fuzz_test.go
+++ b/internal/workflow/planner/rows_fuzz_test.go
@@ -22,7 +22,7 @@
 		if len(spec)+len(state) > 1000 {
 			return // rows of thousands of rounds take long
 		}
-		cell := planner.New(planner.Setup{Partition: partition, Epoch: 2}, timing, selector.Default().Planner, quiet())
+		cell := planner.New(planner.Setup{Partition: partition, Epoch: 2}, timing, selector.Default().Planner, discardLog())
 		row := func(key cottonlanding.Key, value []byte) []cottonlanding.Row {
 			return []cottonlanding.Row{{Key: key, Version: 1, Value: value}}
 		}
--- a/internal/workflow/planner/run.go
+++ b/internal/workflow/planner/run.go
@@ -7,9 +7,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// endsPerAnswer is how many ends a worker lists at once. An answer with as many
+// maxEndsPerPoll is how many ends a worker lists at once. An answer with as many
 // may leave others out.
-const endsPerAnswer = 500
+const maxEndsPerPoll = 500
 
 // recordEnds takes in the ends that an answer of a worker lists.
 func (c *Cell) recordEnds(w *worker, ends []cottonlanding.RunEnd, now cottonlanding.Millis) {
@@ -100,9 +100,9 @@
 		}
 	}
 	j := t.job
-	j.outlook = nil
-	j.rounds[t.ref.Round].unlock(now)
-	c.touch(j)
+	j.forecast = nil
+	j.rounds[t.ref.Round].markReady(now)
+	c.markDirty(j)
 	if j.finished() {
 		c.counts.Succeeded++
 		c.end(j, cottonlanding.WorkflowSucceeded, "", now)
@@ -139,13 +139,13 @@
 	if t.state == taskDone {
 		return
 	}
-	t.state, t.since = taskWaiting, now
+	t.state, t.waitingSince = taskWaiting, now
 	t.setLife(cottonlanding.Life{})
-	c.touch(t.job)
+	c.markDirty(t.job)
 }
 
-// vanish ends a run that surely doesn't go on and whose end nobody lists.
-func (c *Cell) vanish(r *run, now cottonlanding.Millis) {
+// dropRun ends a run that surely doesn't go on and whose end nobody lists.
+func (c *Cell) dropRun(r *run, now cottonlanding.Millis) {
 	r.worker.removeRun(r.RunKey)
 	t := r.task
 	if t == nil || t.run != r {
@@ -180,7 +180,7 @@
 		for _, r := range w.runs.snapshot() {
 			c.dropIfUnsent(w, r, now)
 		}
-		c.dropOverRoom(w, now)
+		c.dropOverCapacity(w, now)
 	}
 }
 
@@ -193,7 +193,7 @@
 	case r.phase == sent && w.evacuated:
 		c.holdBack(r, now)
 	case r.phase < sent && r.stopping:
-		c.vanish(r, now)
+		c.dropRun(r, now)
 	case r.phase < sent && w.cordoned():
 		c.takeBack(r, "its worker may be given nothing", now)
 	case r.phase < sent && !w.reachable(now):
@@ -201,11 +201,11 @@
 	}
 }
 
-// dropOverRoom takes back starts that don't fit any more, because their worker's room has
+// dropOverCapacity takes back starts that don't fit any more, because their worker's room has
 // shrunk since they were placed: what gives way most easily first. What runs goes on.
-func (c *Cell) dropOverRoom(w *worker, now cottonlanding.Millis) {
+func (c *Cell) dropOverCapacity(w *worker, now cottonlanding.Millis) {
 	free := w.free()
-	if fitsIn(free) {
+	if withinCapacity(free) {
 		return
 	}
 	var unsent []*run
@@ -214,9 +214,9 @@
 			unsent = append(unsent, r)
 		}
 	}
-	slices.SortStableFunc(unsent, func(a, b *run) int { return cmp.Compare(firstToGo(kindOf(a.step)), firstToGo(kindOf(b.step))) })
+	slices.SortStableFunc(unsent, func(a, b *run) int { return cmp.Compare(evictionRank(kindOf(a.step)), evictionRank(kindOf(b.step))) })
 	for _, r := range unsent {
-		if fitsIn(free) {
+		if withinCapacity(free) {
 			return
 		}
 		free = free.Plus(r.step.Reserved())
@@ -226,12 +226,12 @@
 			c.stop(r, "its worker's room has shrunk", now) // it may wait behind others, and isn't sent then
 			continue
 		}
-		c.vanish(r, now)
+		c.dropRun(r, now)
 	}
 }
 
-// fitsIn reports whether no more room is held than there is.
-func fitsIn(free cottonlanding.Resources) bool { return cottonlanding.Resources{}.Fits(free) }
+// withinCapacity reports whether no more room is held than there is.
+func withinCapacity(free cottonlanding.Resources) bool { return cottonlanding.Resources{}.Fits(free) }
 
 // lapsed reports whether the runs of a worker have surely ended, or will surely not begin. One that
 // has been idle has no lease, and its next start brings one: while it answers, runs that didn't go
@@ -243,17 +243,19 @@
 	return !w.listed || !w.reachable(now) || slices.ContainsFunc(w.runs.all(), (*run).mayHaveBegun)
 }
 
-// unasked reports whether the leases of a listed worker have surely run out, and this owner doesn't know yet whether it
+// lapsedBeforePoll reports whether the leases of a listed worker have surely run out, and this owner doesn't know yet whether it
 // answers. Its lasting runs have ended whatever it would tell; others may have been done before.
-func (w *worker) unasked(now cottonlanding.Millis) bool { return w.listed && !w.asked && now > w.bound }
+func (w *worker) lapsedBeforePoll(now cottonlanding.Millis) bool {
+	return w.listed && !w.asked && now > w.bound
+}
 
-// lastingOf returns the worker's lasting runs.
-func (w *worker) lastingOf() []*run {
+// lastingTaskRuns returns the worker's lasting runs.
+func (w *worker) lastingTaskRuns() []*run {
 	return slices.DeleteFunc(w.runs.snapshot(), func(r *run) bool { return !r.step.Lasting || r.task == nil })
 }
 
-// firstToGo orders the kinds of tasks by how easily they give way.
-func firstToGo(k kind) int { return slices.Index([]kind{fillingTask, shortTask, lastingTask}, k) }
+// evictionRank orders the kinds of tasks by how easily they give way.
+func evictionRank(k kind) int { return slices.Index([]kind{fillingTask, shortTask, lastingTask}, k) }
 
 // lapse ends the runs on workers whose lease surely ran out. A new owner first asks
 // each of them: what it ran may have ended well before that, and must not be run again.
@@ -263,8 +265,8 @@
 		switch {
 		case w.lapsed(now):
 			c.loseWorker(w, now, lossByLapse)
-		case w.unasked(now):
-			c.loseRuns(w, w.lastingOf(), now, lossByLapse)
+		case w.lapsedBeforePoll(now):
+			c.loseRuns(w, w.lastingTaskRuns(), now, lossByLapse)
 		}
 		if !w.listed && w.runs.size() == 0 {
 			c.forgetWorker(w.info.ID)
--- a/internal/workflow/planner/begun.go
+++ b/internal/workflow/planner/runstart.go
@@ -6,34 +6,34 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// began returns the instant by which the run has begun at the latest, if it did, and false
+// begunBy returns the instant by which the run has begun at the latest, if it did, and false
 // for one of an owner before that no look has listed.
-func (r *run) began() (cottonlanding.Millis, bool) {
+func (r *run) begunBy() (cottonlanding.Millis, bool) {
 	if r.sentAt > 0 && !r.retaken {
 		return r.sentAt, true
 	}
 	return r.ackedAt, r.ackedAt > 0
 }
 
-// seenFor returns how long the run was surely at work on its worker: from when it had begun at the latest
+// observedFor returns how long the run was surely at work on its worker: from when it had begun at the latest
 // to when the worker last listed it.
-func (r *run) seenFor() cottonlanding.Millis {
-	began, known := r.began()
+func (r *run) observedFor() cottonlanding.Millis {
+	begunBy, known := r.begunBy()
 	if !known {
 		return 0
 	}
-	return max(0, r.listedAt-began)
+	return max(0, r.listedAt-begunBy)
 }
 
 // recordOutlived notes that a run has gone on for longer than a task that crashes its worker does. It is
 // written for the next owner once that is true of all runs of a lasting step, or of a suspect.
 func (c *Cell) recordOutlived(r *run) {
-	if r.outlived || r.seenFor() < promptWindow {
+	if r.outlived || r.observedFor() < promptWindow {
 		return
 	}
 	r.outlived = true
 	if t := r.task; t != nil && t.run == r && (t.suspected() || r.step.Lasting && t.stage.allOutlived()) {
-		c.touch(t.job)
+		c.markDirty(t.job)
 	}
 }
 
@@ -53,15 +53,15 @@
 // beganJustBefore reports whether the run began so shortly before an instant that it is a
 // suspect of the end of its worker then.
 func (r *run) beganJustBefore(at cottonlanding.Millis) bool {
-	began, known := r.began()
-	return known && r.mayHaveBegun() && began <= at && at-began <= promptWindow
+	begunBy, known := r.begunBy()
+	return known && r.mayHaveBegun() && begunBy <= at && at-begunBy <= promptWindow
 }
 
-// beganSoonBefore is the same for what may have to do with it. Of a run without an answer
+// mayHaveBegunSoonBefore is the same for what may have to do with it. Of a run without an answer
 // nothing is known, so that it may.
-func (r *run) beganSoonBefore(at cottonlanding.Millis) bool {
-	began, known := r.began()
-	return r.mayHaveBegun() && (!known || at-began < recentWindow)
+func (r *run) mayHaveBegunSoonBefore(at cottonlanding.Millis) bool {
+	begunBy, known := r.begunBy()
+	return r.mayHaveBegun() && (!known || at-begunBy < recentWindow)
 }
 
 // mayHaveJustBegun reports whether the run may have begun just before an instant, or later. One that
@@ -71,6 +71,6 @@
 	if r.phase == sent {
 		return true
 	}
-	began, known := r.began()
-	return known && r.mayHaveBegun() && at-began <= promptWindow
+	begunBy, known := r.begunBy()
+	return known && r.mayHaveBegun() && at-begunBy <= promptWindow
 }
--- a/internal/workflow/planner/search_test.go
+++ b/internal/workflow/planner/search_test.go
@@ -44,7 +44,7 @@
 
 func (s *searchWorld) lookAllUnanswered() {
 	for _, info := range s.workers {
-		s.look(info.ID, false)
+		s.poll(info.ID, false)
 	}
 }
 
@@ -66,7 +66,7 @@
 		_, _ = s.send(s.late[0])
 		s.late = s.late[1:]
 	}, may: func(s *searchWorld) bool { return len(s.late) > 0 }},
-	{name: "looks", do: func(s *searchWorld) { s.lookAll() }},
+	{name: "looks", do: func(s *searchWorld) { s.pollAll() }},
 	{name: "looks unanswered", do: func(s *searchWorld) { s.lookAllUnanswered() }},
 	{name: "w1 reborn", do: func(s *searchWorld) { s.searchRebirth(0) }, may: func(s *searchWorld) bool { return s.rebirths < mostRebirths }},
 	{name: "w2 reborn", do: func(s *searchWorld) { s.searchRebirth(1) }, may: func(s *searchWorld) bool { return s.rebirths < mostRebirths }},
@@ -75,7 +75,7 @@
 	{name: "entries", do: func(s *searchWorld) { s.relist() }},
 	{name: "runs end", do: func(s *searchWorld) { s.now += 300 }},
 	{name: "leases end", do: func(s *searchWorld) {
-		s.now += s.timing.LongestLease + 2*cottonlanding.Second
+		s.now += s.timing.MaxLease + 2*cottonlanding.Second
 		s.waits++
 	}, may: func(s *searchWorld) bool { return s.waits < mostWaits }},
 	{name: "next owner", do: func(s *searchWorld) {
@@ -105,8 +105,8 @@
 	require.NoError(t, err)
 	w := newWorldOf(t, set.Planner)
 	w.workers = w.workers[:2]
-	w.timing.LongestLease = w.timing.Lease + 4*cottonlanding.Second
-	w.runner.CutLeases(w.timing.LongestLease)
+	w.timing.MaxLease = w.timing.Lease + 4*cottonlanding.Second
+	w.runner.CutLeases(w.timing.MaxLease)
 	for at := range w.workers {
 		w.rebirth(at)
 	}
@@ -133,7 +133,7 @@
 
 func (s *searchWorld) fingerprint() uint64 {
 	sum := fnv.New64a()
-	_, _ = fmt.Fprintln(sum, s.texts.fingerprint())
+	_, _ = fmt.Fprintln(sum, s.checkpoints.fingerprint())
 	_, _ = fmt.Fprintln(sum, s.cell.Fingerprint(s.now), s.runner.Fingerprint(), s.epoch, s.rebirths, s.owners, s.waits, s.silences)
 	for _, info := range s.workers {
 		_, _ = fmt.Fprintln(sum, info.Born)
@@ -149,8 +149,8 @@
 	if violations := s.runner.Violations(); len(violations) > 0 {
 		return violations[0]
 	}
-	if s.texts != nil && len(s.texts.faults) > 0 {
-		return s.texts.faults[0]
+	if s.checkpoints != nil && len(s.checkpoints.faults) > 0 {
+		return s.checkpoints.faults[0]
 	}
 	for life, believed := range s.cell.Readings() {
 		if present, reading := s.runner.Reading(life.Worker); present == life && believed > reading {
--- a/internal/workflow/planner/shared.go
+++ b/internal/workflow/planner/shared.go
@@ -77,7 +77,7 @@
 }
 
 // Weighs reports whether what cells have learnt of images is of use here.
-func (c *Cell) Weighs() bool { return c.weighs }
+func (c *Cell) Weighs() bool { return c.hasImages }
 
 // recordBase keeps the shortest tail seen of an image.
 func (p *pressure) recordBase(image cottonlanding.Image, tail cottonlanding.Millis) {
--- a/internal/workflow/planner/shrink_test.go
+++ b/internal/workflow/planner/shrink_test.go
@@ -23,8 +23,8 @@
 func (w *world) starts() map[cottonlanding.WorkerID]cottonlanding.Millicores {
 	out := make(map[cottonlanding.WorkerID]cottonlanding.Millicores)
 	for _, order := range w.cell.Orders(w.now) {
-		if order.Unwanted() {
-			w.cell.Ordered(order, 0, cottonlanding.ErrUnavailable, w.now)
+		if order.Obsolete() {
+			w.cell.OrderAnswered(order, 0, cottonlanding.ErrUnavailable, w.now)
 			continue
 		}
 		before := w.runner.Starts()
@@ -32,7 +32,7 @@
 		if w.runner.Starts() > before {
 			out[order.Worker.Life.Worker] += 2000
 		}
-		w.cell.Ordered(order, reading, err, w.now)
+		w.cell.OrderAnswered(order, reading, err, w.now)
 	}
 	return out
 }
@@ -49,14 +49,14 @@
 		const whole = 8000
 		w.submit("b", "Bulk", cottonlanding.Step{Tasks: 16, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}, Estimate: 500})
 		placed := rapid.SampledFrom([]string{"placed", "committed"}).Draw(t, "When")
-		w.begin()
+		w.makePlan()
 		if placed == "committed" {
 			w.commit()
 		}
 		room := cottonlanding.Millicores(rapid.SampledFrom([]int{4000, 2000, 0}).Draw(t, "Room"))
 		w.resize(room)
 		w.commit()
-		w.begin()
+		w.makePlan()
 		for id, cpu := range w.starts() {
 			require.LessOrEqual(t, cpu, room, "worker %s", id)
 		}
--- a/internal/workflow/planner/silence.go
+++ b/internal/workflow/planner/silence.go
@@ -66,7 +66,7 @@
 
 // recordSilences works out which data centres are silent.
 func (c *Cell) recordSilences(now cottonlanding.Millis) {
-	if !c.policy.WatchesPlaces {
+	if !c.policy.WatchesDataCentres {
 		return
 	}
 	places, heardAt := c.placeSilences(now)
--- a/internal/workflow/planner/spec_test.go
+++ b/internal/workflow/planner/spec_test.go
@@ -9,11 +9,11 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestWorkflowThatFitsNoRowIsRefused: a client may put any text into a label, and all of a
+// TestOversizedWorkflowIsRefused: a client may put any text into a label, and all of a
 // workflow but its state stands in one row. A row that the table refuses takes the cell from its
 // owner, and the next one gets the same workflow as soon as its client asks again: one client
 // would stop a cell. So it is told at once that such a workflow can't run.
-func TestWorkflowThatFitsNoRowIsRefused(t *testing.T) {
+func TestOversizedWorkflowIsRefused(t *testing.T) {
 	cell := cellOf("Urgent")
 	submit := func(id cottonlanding.WorkflowID, label string) error {
 		step := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 100}, Requires: cottonlanding.Label(label)}
--- a/internal/workflow/planner/stale_test.go
+++ b/internal/workflow/planner/stale_test.go
@@ -22,7 +22,7 @@
 	require.NotEmpty(w.t, orders)
 	for _, order := range orders {
 		require.Equal(w.t, planner.VerbStart, order.Verb)
-		require.False(w.t, order.Unwanted())
+		require.False(w.t, order.Obsolete())
 	}
 	return orders
 }
@@ -40,7 +40,7 @@
 		w.now += 100
 		w.commit()
 		for _, order := range orders {
-			require.True(t, order.Unwanted(), "a start to a worker that is leaving")
+			require.True(t, order.Obsolete(), "a start to a worker that is leaving")
 		}
 	})
 }
--- a/internal/workflow/planner/stop_test.go
+++ b/internal/workflow/planner/stop_test.go
@@ -21,12 +21,12 @@
 	return out
 }
 
-// TestStopDoesNotWaitForAnAnswer: a stop is due at once though the start of its run
+// TestStopPrecedesStartAnswer: a stop is due at once though the start of its run
 // has no answer yet. Whichever the worker takes first, the run doesn't go on.
-func TestStopDoesNotWaitForAnAnswer(t *testing.T) {
+func TestStopPrecedesStartAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		w.lookAll()
+		w.pollAll()
 		w.submit("lasting", "Urgent", lasting(1, 0, 1000))
 		w.commit()
 		starts := w.cell.Orders(w.now)
@@ -40,7 +40,7 @@
 		}
 		for _, order := range orders {
 			reading, err := w.send(order)
-			w.cell.Ordered(order, reading, err, w.now)
+			w.cell.OrderAnswered(order, reading, err, w.now)
 		}
 		require.Zero(t, w.runner.Lasting())
 		w.settle()
@@ -48,12 +48,12 @@
 	})
 }
 
-// TestNewOwnerStopsWithoutALook: what a cancelled workflow still runs is stopped by a
+// TestNewOwnerStopsBeforeFirstPoll: what a cancelled workflow still runs is stopped by a
 // new owner before its worker has been heard.
-func TestNewOwnerStopsWithoutALook(t *testing.T) {
+func TestNewOwnerStopsBeforeFirstPoll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		w.lookAll()
+		w.pollAll()
 		w.submit("lasting", "Urgent", lasting(1, 0, 1000))
 		w.decide(100)
 		w.decide(100)
@@ -70,26 +70,26 @@
 	})
 }
 
-// TestUnwantedRepetitionIsStoppedAllTheSame: a start whose answer was lost may have
+// TestObsoleteRetryIsStopped: a start whose answer was lost may have
 // been carried out; that its repetition wasn't sent says nothing of it.
-func TestUnwantedRepetitionIsStoppedAllTheSame(t *testing.T) {
+func TestObsoleteRetryIsStopped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		w.lookAll()
+		w.pollAll()
 		w.submit("lasting", "Urgent", lasting(1, 0, 1000))
 		w.commit()
 		first := w.cell.Orders(w.now)
 		require.Len(t, first, 1)
 		_, err := w.send(first[0])
 		require.NoError(t, err)
-		w.cell.Ordered(first[0], 0, cottonlanding.ErrAmbiguous, w.now)
+		w.cell.OrderAnswered(first[0], 0, cottonlanding.ErrAmbiguous, w.now)
 		w.now += 300
 		again := w.cell.Orders(w.now)
 		require.Len(t, again, 1)
 		require.Equal(t, planner.VerbStart, again[0].Verb)
 		w.cell.Cancel("lasting", w.now, func(error) {})
-		require.True(t, again[0].Unwanted())
-		w.cell.Ordered(again[0], 0, planner.ErrUnwanted, w.now)
+		require.True(t, again[0].Obsolete())
+		w.cell.OrderAnswered(again[0], 0, planner.ErrObsoleteStart, w.now)
 		for _, stop := range w.stops() {
 			_, err := w.send(stop)
 			require.NoError(t, err)
@@ -98,13 +98,13 @@
 	})
 }
 
-// TestLateStartOfACancelledTaskIsStopped: a worker carries out a start long after its
+// TestLateStartOfCancelledTaskIsStopped: a worker carries out a start long after its
 // workflow was cancelled. The run is stopped within seconds, also by an owner that knows
 // nothing of it, and after the workflow's rows are gone.
-func TestLateStartOfACancelledTaskIsStopped(t *testing.T) {
+func TestLateStartOfCancelledTaskIsStopped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		w.lookAll()
+		w.pollAll()
 		w.submit("lasting", "Urgent", lasting(1, 0, 1000))
 		w.commit()
 		w.orders(func() string { return "late" })
--- a/internal/workflow/planner/successor.go
+++ b/internal/workflow/planner/successor.go
@@ -20,7 +20,7 @@
 			gone = append(gone, w)
 		}
 	}
-	if len(gone) == 0 && len(c.open) == 0 {
+	if len(gone) == 0 && len(c.openLivesByWorker) == 0 {
 		return
 	}
 	answering := c.answeringAt()
@@ -30,7 +30,7 @@
 			c.forgetWorker(w.info.ID)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.open)) {
+	for _, id := range slices.Sorted(maps.Keys(c.openLivesByWorker)) {
 		if c.succeeded(id, answering) {
 			c.settleOpen(id, hasEnded, now)
 		}
@@ -51,7 +51,7 @@
 // succeeded reports whether another worker has answered in place of one that tasks have left open.
 func (c *Cell) succeeded(id cottonlanding.WorkerID, answering map[cottonlanding.Address]*worker) bool {
 	w := c.workers[id]
-	successor := answering[c.open[id].address]
+	successor := answering[c.openLivesByWorker[id].address]
 	if successor == nil || successor.info.ID == id || w != nil && w.listed {
 		return false
 	}
--- a/internal/workflow/planner/successor_test.go
+++ b/internal/workflow/planner/successor_test.go
@@ -16,7 +16,7 @@
 		w.decide(turnSpan)
 		for _, worker := range w.workers {
 			if worker.ID != id {
-				w.look(worker.ID, true)
+				w.poll(worker.ID, true)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 			w.decide(turnSpan)
 			for _, info := range w.workers {
 				if info.ID != crashed.ID {
-					w.look(info.ID, true)
+					w.poll(info.ID, true)
 				}
 			}
 		}
@@ -109,7 +109,7 @@
 		for range count {
 			w.decide(turnSpan)
 			for _, info := range w.workers[1:] {
-				w.look(info.ID, true)
+				w.poll(info.ID, true)
 			}
 		}
 	}
--- a/internal/workflow/planner/summary.go
+++ b/internal/workflow/planner/summary.go
@@ -2,9 +2,9 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// summaryEvery is how often the use of the workers is logged: often enough to
+// summaryInterval is how often the use of the workers is logged: often enough to
 // follow a burst of some seconds.
-const summaryEvery = 2 * cottonlanding.Second
+const summaryInterval = 2 * cottonlanding.Second
 
 // summary is how the usable workers are used.
 type summary struct {
@@ -31,7 +31,7 @@
 
 // logSummary tells how the workers are used, from time to time.
 func (c *Cell) logSummary(now cottonlanding.Millis) {
-	if now-c.summaryAt < summaryEvery {
+	if now-c.summaryAt < summaryInterval {
 		return
 	}
 	c.summaryAt = now
--- a/internal/workflow/planner/taskrow_test.go
+++ b/internal/workflow/planner/taskrow_test.go
@@ -10,9 +10,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestTaskRowKeepsWhatAVerdictRestsOn: what is charged to a task, and what may still prove that wrong, went with the
+// TestTaskRowKeepsCrashEvidence: what is charged to a task, and what may still prove that wrong, went with the
 // owner that knew it. Rows without the newer fields are read as they were written.
-func TestTaskRowKeepsWhatAVerdictRestsOn(t *testing.T) {
+func TestTaskRowKeepsCrashEvidence(t *testing.T) {
 	life := cottonlanding.Life{Worker: "w1", Born: 1750000001000}
 	for name, row := range map[string]planner.TaskRow{
 		"nothing":             {},
--- a/internal/workflow/planner/textbook_test.go
+++ b/internal/workflow/planner/textbook_test.go
@@ -46,8 +46,8 @@
 // submitRounds is submitSaved for a workflow that is repeated, unless there are no rounds.
 func (w *world) submitRounds(id cottonlanding.WorkflowID, rounds int, steps ...cottonlanding.Step) {
 	for _, step := range steps {
-		w.texts.saved[id] = append(w.texts.saved[id], step.Checkpoints)
-		w.texts.gangs[id] = append(w.texts.gangs[id], step.Gang)
+		w.checkpoints.saved[id] = append(w.checkpoints.saved[id], step.Checkpoints)
+		w.checkpoints.gangs[id] = append(w.checkpoints.gangs[id], step.Gang)
 	}
 	workflow := cottonlanding.Workflow{ID: id, Queue: "Urgent", Steps: steps}
 	if rounds > 0 {
@@ -63,7 +63,7 @@
 // touchAll has the rows of all workflows written.
 func (w *world) touchAll() {
 	for id := range w.accepted {
-		w.cell.Touch(id)
+		w.cell.MarkDirty(id)
 	}
 	w.commit()
 }
--- a/internal/workflow/planner/together.go
+++ b/internal/workflow/planner/together.go
@@ -12,7 +12,7 @@
 // together returns the candidates in the data centre of the task's workflow, or in another one
 // that becomes it if there are none.
 func (c *Cell) together(t *task, candidates []*worker, now cottonlanding.Millis) []*worker {
-	if !c.policy.KeepsTogether || t.stage.Lasting || len(candidates) < 2 {
+	if !c.policy.KeepsInOneDataCentre || t.stage.Lasting || len(candidates) < 2 {
 		return candidates
 	}
 	if near := inDataCentre(candidates, t.job.dataCentre); len(near) > 0 {
--- a/internal/workflow/planner/waiting.go
+++ b/internal/workflow/planner/waiting.go
@@ -18,8 +18,8 @@
 func (c *Cell) waitingStages(now cottonlanding.Millis) []*stage {
 	var out []*stage
 	c.rankAll(now)
-	slices.SortStableFunc(c.order, compareRanks)
-	for _, j := range c.order {
+	slices.SortStableFunc(c.openJobs, compareRanks)
+	for _, j := range c.openJobs {
 		if !j.mayStart(now) {
 			continue
 		}
@@ -72,7 +72,7 @@
 // logGates logs how many workers are ruled out for a task by what.
 func (c *Cell) logGates(log *slog.Logger, t *task, now cottonlanding.Millis) {
 	counts := c.countGates(t, now)
-	log.Info("step waits", "Task", t.ref.String(), "Run", t.number, "Waited", now-t.since, "Workers", len(c.workers),
+	log.Info("step waits", "Task", t.ref.String(), "Run", t.number, "Waited", now-t.waitingSince, "Workers", len(c.workers),
 		"Unusable", counts[unusableGate], "Barred", counts[barredGate], "Full", counts[fullGate], "KeptForOther", counts[keptForOtherGate],
 		"KeptApart", counts[keptApartGate], "Due", counts[dueGate], "WouldDisturb", counts[disturbGate], "Fits", counts[noGate],
 		"MayStart", t.job.mayStart(now), "CPU", int64(t.stage.Resources.CPU), "Memory", t.stage.Resources.Memory.String())
@@ -81,7 +81,7 @@
 // tellsWaiting reports whether it's time to log why a task waits, and notes that it is logged.
 func (t *task) tellsWaiting(now cottonlanding.Millis) bool {
 	toldAt := t.lastTold()
-	if now-t.since < logWaitingAfter || now-*toldAt < logWaitingEvery && *toldAt > 0 {
+	if now-t.waitingSince < logWaitingAfter || now-*toldAt < logWaitingEvery && *toldAt > 0 {
 		return false
 	}
 	*toldAt = now
@@ -93,13 +93,13 @@
 	if t.downtime != nil {
 		return &t.downtime.toldAt
 	}
-	return &t.stage.toldAt
+	return &t.stage.loggedAt
 }
 
 // logRowFull logs that a task waits although a worker has room: with it the workflow's row might
 // be longer than the table takes.
 func (c *Cell) logRowFull(t *task, now cottonlanding.Millis) {
 	if t.tellsWaiting(now) {
-		c.log.Warn("step waits for room in the workflow's row", "Task", t.ref.String(), "Waited", now-t.since, "Bytes", t.job.size.bytes(), "Most", maxRow)
+		c.log.Warn("step waits for room in the workflow's row", "Task", t.ref.String(), "Waited", now-t.waitingSince, "Bytes", t.job.size.bytes(), "Most", maxRow)
 	}
 }
--- a/internal/workflow/planner/notbegun_test.go
+++ b/internal/workflow/planner/waitingcount_test.go
@@ -29,9 +29,9 @@
 	return count
 }
 
-// TestWhatIsPlacedAndHasNotBegunWaits guards against a count of what waits that goes down as tasks are placed, while
+// TestPlacedWorkflowWaitsUntilBegun guards against a count of what waits that goes down as tasks are placed, while
 // their workers take no start: it was zero for workflows none of which had begun.
-func TestWhatIsPlacedAndHasNotBegunWaits(t *testing.T) {
+func TestPlacedWorkflowWaitsUntilBegun(t *testing.T) {
 	const workflows = 30 // of the 32 for which there is room
 	for _, fault := range []string{"lost", "late", "refused"} {
 		for _, ownerChanges := range []bool{false, true} {
@@ -42,13 +42,13 @@
 				for number := range workflows {
 					id := cottonlanding.WorkflowID(fmt.Sprintf("slow%d", number))
 					queueOf[id] = "Bulk"
-					w.submit(id, "Bulk", cottonlanding.Step{Tasks: 1, Resources: lastingCore.Resources, Estimate: slowLasts})
+					w.submit(id, "Bulk", cottonlanding.Step{Tasks: 1, Resources: lastingCore.Resources, Estimate: slowDuration})
 				}
 				for turn := range 30 {
 					w.now += 100
 					w.commit()
 					w.orders(func() string { return fault })
-					w.lookAll()
+					w.pollAll()
 					if ownerChanges && turn == 10 {
 						w.takeOver()
 					}
@@ -58,7 +58,7 @@
 				for _, order := range w.late[:len(w.late)/2] {
 					_, _ = w.send(order)
 				}
-				w.lookAll()
+				w.pollAll()
 				require.Equal(t, w.notBegun("Bulk", queueOf), w.cell.Waiting("Bulk"), "as looks tell")
 				for range 20 {
 					w.turn(100)
@@ -70,33 +70,33 @@
 	}
 }
 
-// TestWaitingEndsWithWhateverAWorkerTells: a workflow has begun once a worker answers its start, lists its run or lists
+// TestAnyWorkerReportEndsWaiting: a workflow has begun once a worker answers its start, lists its run or lists
 // the end of that, also after the run was given up; the next owner knows of an end from the row.
-func TestWaitingEndsWithWhateverAWorkerTells(t *testing.T) {
+func TestAnyWorkerReportEndsWaiting(t *testing.T) {
 	unanswered := func() string { return "unanswered" }
 	for name, tell := range map[string]func(*world){
 		"start answered": func(w *world) { w.orders(func() string { return "" }) },
 		"run listed": func(w *world) {
 			w.orders(unanswered)
 			require.Equal(t, 1, w.cell.Waiting("Bulk"))
-			w.lookAll()
+			w.pollAll()
 		},
 		"end listed": func(w *world) {
 			w.orders(unanswered)
 			w.now += w.timing.Lease
-			w.lookAll()
+			w.pollAll()
 			w.commit()
 			w.takeOver()
 		},
 		"end listed late": func(w *world) {
 			w.orders(unanswered)
-			w.darkenAll(true)
+			w.silenceAll(true)
 			w.now += 4 * w.timing.Lease
 			w.commit()
 			require.Equal(t, 1, w.cell.Waiting("Bulk"))
-			w.darkenAll(false)
+			w.silenceAll(false)
 			w.now += cottonlanding.Second
-			w.lookAll()
+			w.pollAll()
 			w.commit()
 			w.takeOver()
 		},
@@ -114,16 +114,16 @@
 	}
 }
 
-// TestGangWaitsUntilAllOfItRun guards against a workflow that counts as begun while its gang waits for members whose
+// TestGangWaitsForAllMembers guards against a workflow that counts as begun while its gang waits for members whose
 // starts are lost: the tasks of a gang begin together.
-func TestGangWaitsUntilAllOfItRun(t *testing.T) {
+func TestGangWaitsForAllMembers(t *testing.T) {
 	const members = 3
 	for answered := range members {
 		for _, how := range []string{"", "unanswered"} {
 			t.Run(fmt.Sprintf("%d of %d, %q", answered, members, how), func(t *testing.T) {
 				w := newSpreadWorld(t)
 				w.turn(100)
-				w.submit("slow", "Bulk", cottonlanding.Step{Tasks: members, Resources: lastingCore.Resources, Estimate: slowLasts, Gang: true})
+				w.submit("slow", "Bulk", cottonlanding.Step{Tasks: members, Resources: lastingCore.Resources, Estimate: slowDuration, Gang: true})
 				w.commit()
 				sent := 0
 				w.orders(func() string {
@@ -137,7 +137,7 @@
 				for range 3 {
 					w.now += 50
 					w.commit()
-					w.lookAll()
+					w.pollAll()
 					require.Equal(t, answered, w.runner.Running())
 					require.Equal(t, 1, w.cell.Waiting("Bulk"))
 				}
@@ -151,17 +151,17 @@
 	}
 }
 
-// darkenAll makes all workers silent while they run on, or ends that.
-func (w *world) darkenAll(dark bool) {
+// silenceAll makes all workers silent while they run on, or ends that.
+func (w *world) silenceAll(dark bool) {
 	for _, worker := range w.workers {
 		w.runner.Dark(worker.ID, dark)
 	}
 }
 
-// TestWaitingCountsWhatHasNotBegun plays random histories of orders that are lost, late and refused, of workers that
+// TestWaitingCountUnderFaults plays random histories of orders that are lost, late and refused, of workers that
 // crash and fall silent, and of owners. At no moment is the count of what waits below that of the workflows of which
 // no worker has begun a task, and once all goes well it is the same.
-func TestWaitingCountsWhatHasNotBegun(t *testing.T) {
+func TestWaitingCountUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -203,10 +203,10 @@
 				}
 			},
 			"wait":   func(t *rapid.T) { w.now += cottonlanding.Millis(rapid.IntRange(10, 2500).Draw(t, "Wait")) },
-			"begin":  func(*rapid.T) { w.begin() },
+			"begin":  func(*rapid.T) { w.makePlan() },
 			"commit": func(*rapid.T) { w.commit() },
 			"commitUnanswered": func(*rapid.T) {
-				if w.begin(); w.plan != nil {
+				if w.makePlan(); w.plan != nil {
 					w.apply()
 					w.takeOver()
 				}
@@ -222,7 +222,7 @@
 			},
 			"look": func(t *rapid.T) {
 				at := rapid.IntRange(0, len(w.workers)-1).Draw(t, "Worker")
-				w.look(w.workers[at].ID, rapid.IntRange(0, 3).Draw(t, "Answered") > 0)
+				w.poll(w.workers[at].ID, rapid.IntRange(0, 3).Draw(t, "Answered") > 0)
 			},
 			"crash": func(t *rapid.T) {
 				at := rapid.IntRange(0, len(w.workers)-1).Draw(t, "Worker")
@@ -257,9 +257,9 @@
 	})
 }
 
-// TestOlderRowsTellWhatMayNotLeave: owners of older code and newer ones read each other's rows. What was placed may not
+// TestOlderRowsPinPlacedWorkflows: owners of older code and newer ones read each other's rows. What was placed may not
 // leave by either; whether it has begun is known once a worker tells, or from what the row holds of its tasks.
-func TestOlderRowsTellWhatMayNotLeave(t *testing.T) {
+func TestOlderRowsPinPlacedWorkflows(t *testing.T) {
 	const older = `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[%s]}`
 	for name, one := range map[string]struct {
 		tasks   string
@@ -291,9 +291,9 @@
 // olderRow is what older code reads of a row.
 type olderRow struct{ Begun bool }
 
-// TestRowSaysThatItMayNotLeaveBeforeItHasBegun guards against an owner of older code that hands over a workflow whose
+// TestRowPinsPlacedWorkflow guards against an owner of older code that hands over a workflow whose
 // start is on its way.
-func TestRowSaysThatItMayNotLeaveBeforeItHasBegun(t *testing.T) {
+func TestRowPinsPlacedWorkflow(t *testing.T) {
 	w := newWorld(t)
 	w.turn(100)
 	w.submit("l", "Bulk", lastingCore)
@@ -304,7 +304,7 @@
 	w.now += cottonlanding.Minute
 	require.Empty(t, w.cell.Leavers(1, w.now))
 	require.Equal(t, 1, w.cell.Waiting("Bulk"))
-	w.lookAll()
+	w.pollAll()
 	w.turn(100)
 	require.Equal(t, 1, w.runner.Running())
 	require.Zero(t, w.cell.Waiting("Bulk"))
@@ -317,9 +317,9 @@
 	return row
 }
 
-// TestGuestsWaitWithTheirKeeper guards against a workflow that no cell counts, or two, while its tasks are delegated
+// TestDelegatedWorkflowWaitsAtDelegator guards against a workflow that no cell counts, or two, while its tasks are delegated
 // and none has begun.
-func TestGuestsWaitWithTheirKeeper(t *testing.T) {
+func TestDelegatedWorkflowWaitsAtDelegator(t *testing.T) {
 	n := newNeighbours(t, 2, 2)
 	n.turn(100)
 	n.cells[0].submit("lfull", "Bulk", lastingCores(16)) // all of its cell
--- a/internal/workflow/planner/worker.go
+++ b/internal/workflow/planner/worker.go
@@ -235,7 +235,7 @@
 			continue // its entry stays for some seconds
 		}
 		listed[info.ID] = true
-		if lives := c.open[info.ID]; lives != nil {
+		if lives := c.openLivesByWorker[info.ID]; lives != nil {
 			lives.address = info.Address
 		}
 		w := c.workers[info.ID]
@@ -299,7 +299,7 @@
 			c.loseEarlier(r, now)
 			continue
 		}
-		c.vanish(r, now)
+		c.dropRun(r, now)
 	}
 	c.giveUp(convicted, now)
 }
--- a/internal/workflow/planner/world_test.go
+++ b/internal/workflow/planner/world_test.go
@@ -21,19 +21,19 @@
 
 const partition cottonlanding.Partition = "Test"
 
-// slowLasts is how long tasks of workflows whose id begins with "slow" last: longer
+// slowDuration is how long tasks of workflows whose id begins with "slow" last: longer
 // than any room is kept.
-const slowLasts = 30 * cottonlanding.Second
+const slowDuration = 30 * cottonlanding.Second
 
 // failingLasting is a workflow of lasting tasks of which each fifth fails once.
 const failingLasting cottonlanding.WorkflowID = "lastingFails"
 
-// againPrefix begins the ids of workflows whose tasks last againLasts; their first againFails runs
+// failOncePrefix begins the ids of workflows whose tasks last failOnceDuration; their first failOnceFailures runs
 // fail.
 const (
-	againPrefix                         = "again"
-	againFails  cottonlanding.RunNumber = 1
-	againLasts                          = 250 * cottonlanding.Millis(1)
+	failOncePrefix                           = "again"
+	failOnceFailures cottonlanding.RunNumber = 1
+	failOnceDuration                         = 250 * cottonlanding.Millis(1)
 )
 
 func TestMain(m *testing.M) {
@@ -46,7 +46,7 @@
 
 var timing = planner.Timing{Lease: 6000, CutOffGrace: 1000, StopTimeout: 900, Retention: 10 * cottonlanding.Minute}
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // world plays one cell, its owners one after the other, its table and its workers,
 // all on one clock that the test moves by hand.
@@ -68,14 +68,14 @@
 	policy   planner.Policy
 	plan     *planner.Plan
 	log      *slog.Logger
-	// culprits are the tasks that crash each worker that starts them, crashAfter how long
+	// faultyTasks are the tasks that crash each worker that starts them, crashAfter how long
 	// that takes.
-	culprits   map[cottonlanding.TaskRef]bool
-	crashAfter cottonlanding.Millis
-	// started is called for each start that goes out, unless it is nil.
-	started func(planner.Order)
-	// texts has workers list checkpoints and watches what starts bring, unless it is nil.
-	texts *textBook
+	faultyTasks map[cottonlanding.TaskRef]bool
+	crashAfter  cottonlanding.Millis
+	// onStart is called for each start that goes out, unless it is nil.
+	onStart func(planner.Order)
+	// checkpoints has workers list checkpoints and watches what starts bring, unless it is nil.
+	checkpoints *textBook
 	// ownedFor is for how long owners surely own the cell after each turn; zero doesn't tell them.
 	ownedFor cottonlanding.Millis
 	// boundsKeptSince is from which epoch on owners keep to lease bounds, by default the first.
@@ -100,7 +100,7 @@
 		accepted: make(map[cottonlanding.WorkflowID]bool),
 		timing:   timing,
 		policy:   policy,
-		log:      quiet(),
+		log:      discardLog(),
 		queues: cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{
 			"Urgent": {Name: "Urgent", Service: "S", Priority: 0, Attempts: 3, Stretch: 2, LatencyTarget: 1000},
 			"Bulk":   {Name: "Bulk", Service: "S", Priority: 2, Attempts: 2, Stretch: 2, LatencyTarget: 1000},
@@ -110,14 +110,14 @@
 		index := key.Task.Index
 		lasts := cottonlanding.Millis(200 + 170*index)
 		if strings.HasPrefix(string(key.Task.Workflow), "slow") {
-			lasts = slowLasts
+			lasts = slowDuration
 		}
 		fails := index%5 == 4 && key.Number == 1
 		forever := key.Task.Workflow[0] == 'l' && !(fails && key.Task.Workflow == failingLasting)
-		if strings.HasPrefix(string(key.Task.Workflow), againPrefix) {
-			return runner.Fate{Lasts: againLasts, Fails: key.Number <= againFails}
+		if strings.HasPrefix(string(key.Task.Workflow), failOncePrefix) {
+			return runner.Fate{Lasts: failOnceDuration, Fails: key.Number <= failOnceFailures}
 		}
-		if w.culprits[key.Task] {
+		if w.faultyTasks[key.Task] {
 			return runner.Fate{Lasts: w.crashAfter, Crashes: true}
 		}
 		return runner.Fate{Lasts: lasts, Fails: fails, Forever: forever}
@@ -160,7 +160,7 @@
 		setup.BeforeOwnedUntil = before - w.timing.CutOffGrace
 	}
 	w.cell = planner.New(setup, w.timing, w.policy, w.log)
-	w.tellOwned()
+	w.renewOwnership()
 	w.cell.SetQueues(w.queues)
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 	require.NoError(w.t, w.cell.Load(w.scan(planner.SpecKey(partition, "")), w.scan(planner.StateKey(partition, "")), w.now))
@@ -171,8 +171,8 @@
 	}
 }
 
-// tellOwned tells the owner until when it surely owns the cell.
-func (w *world) tellOwned() {
+// renewOwnership tells the owner until when it surely owns the cell.
+func (w *world) renewOwnership() {
 	if w.ownedFor > 0 {
 		w.cell.SetOwnedUntil(w.now + w.ownedFor)
 	}
@@ -200,11 +200,11 @@
 	return out
 }
 
-// begin takes the next plan; commit applies it.
-func (w *world) begin() {
+// makePlan takes the next plan; commit applies it.
+func (w *world) makePlan() {
 	if w.plan == nil {
 		w.cell.SetTableClock(w.tableClock())
-		w.tellOwned()
+		w.renewOwnership()
 		w.cell.Decide(w.now, int64(w.now))
 		w.plan = w.cell.Plan(w.now)
 	}
@@ -223,7 +223,7 @@
 }
 
 func (w *world) commit() {
-	w.begin()
+	w.makePlan()
 	if w.plan == nil {
 		return
 	}
@@ -237,10 +237,10 @@
 	ctx := context.Background()
 	switch order.Verb {
 	case planner.VerbStart:
-		if w.started != nil {
-			w.started(order)
+		if w.onStart != nil {
+			w.onStart(order)
 		}
-		if w.texts != nil {
+		if w.checkpoints != nil {
 			order.Start.Checkpoint = "" // the book has listed it, and holds each start against that; the runner has made none
 		}
 		return w.runner.Start(ctx, order.Worker, order.Start)
@@ -255,7 +255,7 @@
 func (w *world) orders(fault func() string) {
 	for _, order := range w.cell.Orders(w.now) {
 		order.SentAt = w.now
-		w.texts.recordOrder(order)
+		w.checkpoints.recordOrder(order)
 		var reading cottonlanding.Reading
 		err := error(cottonlanding.ErrAmbiguous)
 		switch fault() {
@@ -269,11 +269,11 @@
 		default:
 			reading, err = w.send(order)
 		}
-		w.cell.Ordered(order, reading, err, w.now)
+		w.cell.OrderAnswered(order, reading, err, w.now)
 	}
 }
 
-func (w *world) look(id cottonlanding.WorkerID, answered bool) {
+func (w *world) poll(id cottonlanding.WorkerID, answered bool) {
 	next, found := w.cell.NextLook(id, w.now)
 	if !found || next.After > 0 {
 		return
@@ -286,7 +286,7 @@
 		w.cell.LookFailed(next, err, w.now)
 		return
 	}
-	w.texts.fill(&report)
+	w.checkpoints.fill(&report)
 	w.cell.Looked(next, report, w.now, w.now)
 }
 
@@ -319,11 +319,11 @@
 // turn is decide and a look at every worker.
 func (w *world) turn(span cottonlanding.Millis) {
 	w.decide(span)
-	w.lookAll()
+	w.pollAll()
 }
 
-func (w *world) lookAll() {
+func (w *world) pollAll() {
 	for _, worker := range w.workers {
-		w.look(worker.ID, true)
+		w.poll(worker.ID, true)
 	}
 }
