--- a/internal/workflow/planner/againhistory_test.go
+++ b/internal/workflow/planner/againhistory_test.go
@@ -133,8 +133,8 @@
 func (h *againHistory) join(p *playedCell) {
 	p.addLife(cottonlanding.WorkerInfo{
 		Address: cottonlanding.Address(fmt.Sprintf("a%d", p.lives)), Service: "S", State: cottonlanding.Live,
-		DataCentre: places[p.lives%len(places)],
-		Rack:       cottonlanding.Rack(fmt.Sprintf("r%d", p.lives%len(places))),
+		DataCentre: dataCentres[p.lives%len(dataCentres)],
+		Rack:       cottonlanding.Rack(fmt.Sprintf("r%d", p.lives%len(dataCentres))),
 		Capacity:   cottonlanding.Resources{CPU: 8000, Memory: 64 * cottonlanding.Gigabyte},
 	})
 	p.rebirth(len(p.workers) - 1)
--- a/internal/workflow/planner/againtrouble_test.go
+++ b/internal/workflow/planner/againtrouble_test.go
@@ -148,7 +148,7 @@
 }
 
 func (h *againHistory) silencePlace(p *playedCell, span cottonlanding.Millis) {
-	place := places[h.random.Intn(len(places))]
+	place := dataCentres[h.random.Intn(len(dataCentres))]
 	for _, info := range h.pick(p, len(p.workers)) {
 		if info.DataCentre == place {
 			h.darken(p, info.ID, span)
@@ -254,7 +254,7 @@
 
 // evacuateSome evacuates a data centre for a while, also beyond the phase of trouble.
 func (h *againHistory) evacuateSome() {
-	place := places[h.random.Intn(len(places))]
+	place := dataCentres[h.random.Intn(len(dataCentres))]
 	h.tell("%s is evacuated", place)
 	for _, p := range h.cells {
 		p.evacuate(place, true)
--- a/internal/workflow/planner/missed.go
+++ b/internal/workflow/planner/blockedlog.go
@@ -7,59 +7,59 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// missedPerSecond bounds the lines that tell what holds back lasting tasks that don't run: each costs a look at all
+// maxBlockedLogsPerSecond bounds the lines that tell what holds back lasting tasks that don't run: each costs a look at all
 // workers.
-const missedPerSecond = 25
+const maxBlockedLogsPerSecond = 25
 
-// missedBudget counts the lines of the present second.
-type missedBudget struct {
-	began cottonlanding.Millis
-	lines int
+// blockedLogBudget counts the lines of the present second.
+type blockedLogBudget struct {
+	secondBegan cottonlanding.Millis
+	lines       int
 }
 
 // left returns how many lines may still be written in this second.
-func (b *missedBudget) left(now cottonlanding.Millis) int {
-	if now-b.began >= cottonlanding.Second {
-		b.began, b.lines = now, 0
+func (b *blockedLogBudget) left(now cottonlanding.Millis) int {
+	if now-b.secondBegan >= cottonlanding.Second {
+		b.secondBegan, b.lines = now, 0
 	}
-	return missedPerSecond - b.lines
+	return maxBlockedLogsPerSecond - b.lines
 }
 
-// logMissed logs what holds back each lasting task that was placed before and doesn't run, those first that were
+// logBlocked logs what holds back each lasting task that was placed before and doesn't run, those first that were
 // told longest ago.
-func (c *Cell) logMissed(now cottonlanding.Millis) {
+func (c *Cell) logBlocked(now cottonlanding.Millis) {
 	left := c.downtimes.budget.left(now)
 	if left <= 0 || len(c.downtimes.open) == 0 {
 		return
 	}
-	var due []*downtime
+	var blocked []*downtime
 	for _, d := range c.downtimes.open {
-		if d.tells(now) {
-			due = append(due, d)
+		if d.logsBlocked(now) {
+			blocked = append(blocked, d)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b *downtime) int { return cmp.Compare(a.toldAt, b.toldAt) })
-	for _, d := range due[:min(left, len(due))] {
+	slices.SortStableFunc(blocked, func(a, b *downtime) int { return cmp.Compare(a.toldAt, b.toldAt) })
+	for _, d := range blocked[:min(left, len(blocked))] {
 		d.toldAt, d.toldPlaced = now, d.task.run != nil
 		c.downtimes.budget.lines++
 		if d.task.run != nil {
 			c.logNotStarted(d.task.run, now)
 			continue
 		}
-		c.logGates(c.logs.lasting, d.task, now)
+		c.logRejections(c.logs.lasting, d.task, now)
 	}
 }
 
-// tells reports whether it's time to log what holds the task back.
-func (d *downtime) tells(now cottonlanding.Millis) bool {
+// logsBlocked reports whether it's time to log what holds the task back.
+func (d *downtime) logsBlocked(now cottonlanding.Millis) bool {
 	sameReason := d.toldPlaced == (d.task.run != nil)
-	if d.over() || sameReason && d.toldAt > 0 && now-d.toldAt < logWaitingEvery {
+	if d.over() || sameReason && d.toldAt > 0 && now-d.toldAt < waitLogInterval {
 		return false
 	}
 	if r := d.task.run; r != nil {
-		return now-r.placedAt >= logWaitingAfter
+		return now-r.placedAt >= waitLogDelay
 	}
-	return d.task.state == taskWaiting && now-d.task.waitingSince >= logWaitingAfter
+	return d.task.state == taskWaiting && now-d.task.waitingSince >= waitLogDelay
 }
 
 // logNotStarted logs what is known of a run that was placed and isn't known to go on.
--- a/internal/workflow/planner/missed_test.go
+++ b/internal/workflow/planner/blockedlog_test.go
@@ -10,11 +10,11 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestEachMissedTaskTellsItsGates guards against a log in which the first task of a step speaks for all: it waits for
+// TestDownTasksLogTheirOwnRejections guards against a log in which the first task of a step speaks for all: it waits for
 // another reason, or for less long, than one that its users miss.
-func TestEachMissedTaskTellsItsGates(t *testing.T) {
+func TestDownTasksLogTheirOwnRejections(t *testing.T) {
 	w := newSpreadWorld(t)
-	log := w.listen()
+	log := w.captureLog()
 	w.play(cottonlanding.Second)
 	w.submit("lasting", "Urgent", lasting(5, 1, 6000)) // the fifth never runs
 	w.play(cottonlanding.Second)
@@ -24,34 +24,34 @@
 	two := w.idle("lasting", one)
 	w.play(9 * cottonlanding.Second)
 	for _, index := range []int{one, two} {
-		lines := waitsOf(t, log, cottonlanding.TaskRef{Workflow: "lasting", Index: index}.String())
+		lines := waitLines(t, log, cottonlanding.TaskRef{Workflow: "lasting", Index: index}.String())
 		require.Len(t, lines, 3, "after one second, five and nine")
-		require.Equal(t, map[string]int{"Unusable": 2, "Full": 2}, gatesOf(lines[0]))
+		require.Equal(t, map[string]int{"Unusable": 2, "Full": 2}, rejectionsIn(lines[0]))
 		require.EqualValues(t, 1, lines[0]["Run"])
 	}
 }
 
-// TestSuspectTellsThatItIsKeptApart guards against a lasting task that waits for long without a line: one that is
+// TestIsolatedTaskLogsIsolation guards against a lasting task that waits for long without a line: one that is
 // kept apart was passed over without a word.
-func TestSuspectTellsThatItIsKeptApart(t *testing.T) {
+func TestIsolatedTaskLogsIsolation(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
 	w.submit("lasting", "Urgent", lasting(1, 0, 1000))
 	w.play(cottonlanding.Second)
 	w.join()
 	w.runner.Dark(w.workers[4].ID, true)
-	w.leaveSuspect("lasting", w.workers[4].ID)
-	log := w.listen()
+	w.storeSuspect("lasting", w.workers[4].ID)
+	log := w.captureLog()
 	w.play(6 * cottonlanding.Second) // it is kept apart for seven
 	require.False(t, w.runs("lasting", 0))
-	lines := waitsOf(t, log, first("lasting").String())
+	lines := waitLines(t, log, first("lasting").String())
 	require.Len(t, lines, 2, "after one second and five")
-	require.Equal(t, map[string]int{"KeptApart": 4, "Unusable": 1}, gatesOf(lines[1]))
+	require.Equal(t, map[string]int{"KeptApart": 4, "Unusable": 1}, rejectionsIn(lines[1]))
 }
 
-// leaveSuspect has the row of a workflow with one task say that the task is given up with its next loss, and that
+// storeSuspect has the row of a workflow with one task say that the task is given up with its next loss, and that
 // nobody knows yet what became of its last worker.
-func (w *world) leaveSuspect(id cottonlanding.WorkflowID, last cottonlanding.WorkerID) {
+func (w *world) storeSuspect(id cottonlanding.WorkflowID, last cottonlanding.WorkerID) {
 	key := planner.StateKey(partition, id)
 	row := w.rows[key]
 	var state map[string]any
@@ -63,11 +63,11 @@
 	w.rows[key] = row
 }
 
-// TestPlacedTaskThatDoesNotRunIsTold guards against a lasting task that has a worker, so that nothing tells why it
+// TestStalledStartIsLogged guards against a lasting task that has a worker, so that nothing tells why it
 // doesn't run there.
-func TestPlacedTaskThatDoesNotRunIsTold(t *testing.T) {
+func TestStalledStartIsLogged(t *testing.T) {
 	w := newSpreadWorld(t)
-	log := w.listen()
+	log := w.captureLog()
 	w.play(cottonlanding.Second)
 	w.submit("lasting", "Urgent", lasting(4, 1, 3000))
 	w.play(cottonlanding.Second)
@@ -76,39 +76,39 @@
 	w.leave(0)
 	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.idle("lasting")}
 	w.play(6 * cottonlanding.Second)
-	lines := linesOf(t, log, "placed task doesn't run")
+	lines := logLines(t, log, "placed task doesn't run")
 	require.Len(t, lines, 2, "after one second and five")
 	require.Equal(t, ref.String(), lines[0]["Task"])
 	require.EqualValues(t, 2, lines[0]["Run"])
 	require.Equal(t, w.workers[4].ID, cottonlanding.WorkerID(lines[0]["Worker"].(string)))
 	require.Equal(t, "Cleared", lines[0]["Phase"])
 	require.Equal(t, true, lines[0]["StartsHeld"])
-	require.Empty(t, waitsOf(t, log, ref.String()), "it waits for no worker")
+	require.Empty(t, waitLines(t, log, ref.String()), "it waits for no worker")
 }
 
-// TestPlacedTaskIsToldAfterItsWait guards against a start that hangs for seconds without a line, since the wait for a
+// TestStalledStartIsLoggedAfterWait guards against a start that hangs for seconds without a line, since the wait for a
 // worker before it was told just now.
-func TestPlacedTaskIsToldAfterItsWait(t *testing.T) {
+func TestStalledStartIsLoggedAfterWait(t *testing.T) {
 	w := newSpreadWorld(t)
-	log := w.listen()
+	log := w.captureLog()
 	w.play(cottonlanding.Second)
 	w.submit("lasting", "Urgent", lasting(4, 1, 6000))
 	w.play(cottonlanding.Second)
 	w.leave(0)
 	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.idle("lasting")}
 	w.play(cottonlanding.Second)
-	require.Len(t, waitsOf(t, log, ref.String()), 1)
+	require.Len(t, waitLines(t, log, ref.String()), 1)
 	w.cell.HoldStarts(true)
 	w.join()
 	w.play(500)
-	lines := linesOf(t, log, "placed task doesn't run")
+	lines := logLines(t, log, "placed task doesn't run")
 	require.Len(t, lines, 1)
 	require.InDelta(t, float64(cottonlanding.Second), lines[0]["PlacedBefore"], float64(turnSpan))
 }
 
-// TestMissedTasksAreToldInTurns guards against a log that grows with the tasks that wait, or tells the same ones again
+// TestBlockedTaskLogIsRateLimited guards against a log that grows with the tasks that wait, or tells the same ones again
 // and again.
-func TestMissedTasksAreToldInTurns(t *testing.T) {
+func TestBlockedTaskLogIsRateLimited(t *testing.T) {
 	const lines, tasks, span = 25, 180, 10 * cottonlanding.Second
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -119,9 +119,9 @@
 	for number := range 3 {
 		w.leave(number)
 	}
-	log := w.listen()
+	log := w.captureLog()
 	w.play(span)
-	all := linesOf(t, log, "step waits")
+	all := logLines(t, log, "step waits")
 	require.LessOrEqual(t, len(all), lines*int(span/cottonlanding.Second)+5, "and some for the steps")
 	waiting := make(map[any]bool)
 	for _, line := range all {
--- a/internal/workflow/planner/cell.go
+++ b/internal/workflow/planner/cell.go
@@ -117,7 +117,7 @@
 	// bounds are the lease bounds of silent workers that are written down.
 	bounds leaseBounds
 	// reserved is what is reserved to lasting tasks that have run, as of the last decision.
-	reserved dues
+	reserved reservations
 	// superseded says that a worker has seen a newer owner.
 	superseded bool
 	counts     Counts
--- a/internal/workflow/planner/checkpoint_test.go
+++ b/internal/workflow/planner/checkpoint_test.go
@@ -12,7 +12,7 @@
 // savedWorld is a world whose workers list texts.
 func savedWorld(t require.TestingT) *world {
 	w := newSpreadWorld(t)
-	w.checkpoints = newTextBook()
+	w.checkpoints = newCheckpointRecorder()
 	for range 3 {
 		w.turn(turnSpan)
 	}
@@ -35,7 +35,7 @@
 
 // loadRow has the next owner take in one workflow in a given state.
 func (w *world) loadRow(id cottonlanding.WorkflowID, state string, steps ...cottonlanding.Step) {
-	w.submitSaved(id, steps...)
+	w.submitCheckpointing(id, steps...)
 	w.commit()
 	row := w.rows[planner.StateKey(partition, id)]
 	row.Value = []byte(state)
@@ -50,10 +50,10 @@
 func TestOnlyStepsThatCheckpointHaveTexts(t *testing.T) {
 	t.Run("listed", func(t *testing.T) {
 		w := savedWorld(t)
-		w.submitSaved("again", quick(2), saving(1))
+		w.submitCheckpointing("again", quick(2), saving(1))
 		w.play(10 * cottonlanding.Second)
 		require.Empty(t, w.checkpoints.faults)
-		require.NotEmpty(t, w.checkpoints.brought[cottonlanding.RunKey{Task: cottonlanding.TaskRef{Workflow: "again", Step: 1}, Number: 2}])
+		require.NotEmpty(t, w.checkpoints.startedWith[cottonlanding.RunKey{Task: cottonlanding.TaskRef{Workflow: "again", Step: 1}, Number: 2}])
 	})
 	t.Run("in the row", func(t *testing.T) {
 		w := savedWorld(t)
@@ -65,7 +65,7 @@
 }
 
 // note takes a text for one that a run of the task has listed.
-func (b *textBook) note(task cottonlanding.TaskRef, text cottonlanding.Checkpoint) {
+func (b *checkpointRecorder) note(task cottonlanding.TaskRef, text cottonlanding.Checkpoint) {
 	b.listed[task] = map[cottonlanding.Checkpoint]bool{text: true}
 }
 
@@ -105,10 +105,10 @@
 // listed with last. So a gang that had listed texts was started with as many of them.
 func TestGangBringsOneText(t *testing.T) {
 	w := savedWorld(t)
-	w.submitSaved("again", savingGang(2))
+	w.submitCheckpointing("again", savingGang(2))
 	w.play(10 * cottonlanding.Second)
 	require.Empty(t, w.checkpoints.faults)
-	text := w.checkpoints.brought[cottonlanding.RunKey{Task: first("again"), Number: 2}]
+	text := w.checkpoints.startedWith[cottonlanding.RunKey{Task: first("again"), Number: 2}]
 	require.Contains(t, text, "again.0.0.1#1", "the second member's worker is asked last")
 	state, _ := w.cell.State("again")
 	require.Equal(t, cottonlanding.WorkflowSucceeded, state)
@@ -130,8 +130,8 @@
 			w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+tasks+`]}`, savingGang(3))
 			w.play(5 * cottonlanding.Second)
 			require.Empty(t, w.checkpoints.faults)
-			require.NotEmpty(t, w.checkpoints.brought)
-			for _, text := range w.checkpoints.brought {
+			require.NotEmpty(t, w.checkpoints.startedWith)
+			for _, text := range w.checkpoints.startedWith {
 				require.EqualValues(t, "two", text)
 			}
 		})
@@ -210,7 +210,7 @@
 	w := savedWorld(t)
 	after := quick(10)
 	after.After = []int{0}
-	w.submitSaved("gang", savingGang(2), after)
+	w.submitCheckpointing("gang", savingGang(2), after)
 	ended := cottonlanding.TaskRef{Workflow: "gang", Index: 1}
 	for len(w.checkpoints.listed[ended]) == 0 || w.runner.Runs(ended) {
 		w.turn(turnSpan)
@@ -227,8 +227,8 @@
 // the next one.
 func TestNextOwnerBringsNoTextToTheRunThatMadeIt(t *testing.T) {
 	w := bornWorld(t)
-	w.checkpoints = newTextBook()
-	w.submitSaved("slow", saving(1))
+	w.checkpoints = newCheckpointRecorder()
+	w.submitCheckpointing("slow", saving(1))
 	w.play(2 * cottonlanding.Second)
 	w.touchAll()
 	for at := range w.workers {
@@ -237,8 +237,8 @@
 	w.takeOver()
 	w.play(2 * cottonlanding.Second)
 	require.Empty(t, w.checkpoints.faults)
-	require.Empty(t, w.checkpoints.brought[cottonlanding.RunKey{Task: first("slow"), Number: 1}])
-	require.NotEmpty(t, w.checkpoints.brought[cottonlanding.RunKey{Task: first("slow"), Number: 2}])
+	require.Empty(t, w.checkpoints.startedWith[cottonlanding.RunKey{Task: first("slow"), Number: 1}])
+	require.NotEmpty(t, w.checkpoints.startedWith[cottonlanding.RunKey{Task: first("slow"), Number: 2}])
 }
 
 // The same where workers tell no births: nothing tells the two lives apart then, and the start is
@@ -246,7 +246,7 @@
 // that this run has made since.
 func TestNextOwnerRepeatsAStartWithItsTextWithoutBirths(t *testing.T) {
 	w := savedWorld(t)
-	w.submitSaved("slow", saving(1))
+	w.submitCheckpointing("slow", saving(1))
 	w.play(2 * cottonlanding.Second)
 	w.touchAll()
 	for _, info := range w.workers {
@@ -255,5 +255,5 @@
 	w.takeOver()
 	w.play(2 * cottonlanding.Second)
 	require.Empty(t, w.checkpoints.faults)
-	require.Empty(t, w.checkpoints.brought[cottonlanding.RunKey{Task: first("slow"), Number: 1}])
+	require.Empty(t, w.checkpoints.startedWith[cottonlanding.RunKey{Task: first("slow"), Number: 1}])
 }
--- a/internal/workflow/planner/checkpointfaults_test.go
+++ b/internal/workflow/planner/checkpointfaults_test.go
@@ -17,7 +17,7 @@
 func TestTextsAmongFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := bornWorld(t)
-		w.checkpoints = newTextBook()
+		w.checkpoints = newCheckpointRecorder()
 		w.timing.MaxLease = w.timing.Lease + 4*cottonlanding.Second
 		w.runner.CutLeases(w.timing.MaxLease)
 		w.takeOver()
--- a/internal/workflow/planner/checkpointsearch_test.go
+++ b/internal/workflow/planner/checkpointsearch_test.go
@@ -27,8 +27,8 @@
 // newFirstRuns is newSearchWorld with texts, and with tasks of which each fails once.
 func newFirstRuns(t require.TestingT) *searchWorld {
 	s := newSearchWorld(t)
-	s.checkpoints = newTextBook()
-	s.submitSaved("again", saving(1), savingGang(2), quick(1))
+	s.checkpoints = newCheckpointRecorder()
+	s.submitCheckpointing("again", saving(1), savingGang(2), quick(1))
 	return s
 }
 
--- a/internal/workflow/planner/downspans.go
+++ b/internal/workflow/planner/downspans.go
@@ -26,8 +26,8 @@
 	if lookFails := busyWait + call; timing.Lease/startLeaseUsed < lookFails {
 		faults = append(faults, fmt.Sprintf("a look fails after %s, and starts extend a lease from %s on", lookFails, timing.Lease/startLeaseUsed))
 	}
-	if keepAfter > mostHeldBack {
-		faults = append(faults, fmt.Sprintf("a worker is kept after %s, and nothing holds a task back after %s", keepAfter, mostHeldBack))
+	if holdAfter > mostHeldBack {
+		faults = append(faults, fmt.Sprintf("a worker is kept after %s, and nothing holds a task back after %s", holdAfter, mostHeldBack))
 	}
 	if len(faults) > 0 {
 		return fmt.Errorf("lasting tasks may be down for longer than %s (%s)", mostDown, strings.Join(faults, "; "))
@@ -45,7 +45,7 @@
 		{"a silent worker", lost},
 		{"a silent worker, then a start without an answer", lastStart + stopped},
 		{"a silent worker, then delegated", lost + delegated},
-		{"held back, then room is made", mostHeldBack + roomPatience + turn},
+		{"held back, then room is made", mostHeldBack + preemptionTimeout + turn},
 		{"placed on a worker that falls silent before the start", turn + busyWait + call + turn},
 		{"starts without an answer", turn + startPatience + stopped},
 		{"starts and stops without an answer", turn + secondStart + stretched(timing.Lease) + cottonlanding.Millis(readingSlack) + stopped},
--- a/internal/workflow/planner/downtime.go
+++ b/internal/workflow/planner/downtime.go
@@ -27,7 +27,7 @@
 	open   []*downtime
 	downs  []downLine
 	starts []downLine
-	budget missedBudget
+	budget blockedLogBudget
 }
 
 // unknownSpan is what the log shows for a span of which this owner doesn't know the beginning.
--- a/internal/workflow/planner/downtime_test.go
+++ b/internal/workflow/planner/downtime_test.go
@@ -21,7 +21,7 @@
 // told returns how often lines with one of the messages name a task.
 func told(t require.TestingT, log *bytes.Buffer, messages []string, ref cottonlanding.TaskRef) int {
 	count := 0
-	for _, line := range linesOf(t, log, messages...) {
+	for _, line := range logLines(t, log, messages...) {
 		if line["Task"] == ref.String() {
 			count++
 		}
@@ -59,7 +59,7 @@
 	w.play(cottonlanding.Second)
 	for began := w.now; !w.runsAll(id, tasks); {
 		w.turn(turnSpan)
-		require.Less(w.t, w.now-began, 3*runAgainWithin)
+		require.Less(w.t, w.now-began, 3*restartTimeout)
 	}
 	w.play(cottonlanding.Second)
 }
@@ -77,18 +77,18 @@
 // was down, why, and in what that time went.
 func TestStoppedLastingTaskTellsItsDowntime(t *testing.T) {
 	w := newSpreadWorld(t)
-	log := w.listen()
+	log := w.captureLog()
 	w.play(cottonlanding.Second)
 	w.submit("lasting", "Urgent", lasting(4, 1, 6000))
 	w.play(cottonlanding.Second)
-	require.Empty(t, linesOf(t, log, slices.Concat(downMessages, againMessages)...), "a task that begins for the first time was not down")
+	require.Empty(t, logLines(t, log, slices.Concat(downMessages, againMessages)...), "a task that begins for the first time was not down")
 	w.leave(0)
 	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.idle("lasting")}
 	w.play(2 * cottonlanding.Second)
 	w.join()
 	w.awaitRun(ref, cottonlanding.Second)
 	w.play(turnSpan)
-	downs := linesOf(t, log, downMessages...)
+	downs := logLines(t, log, downMessages...)
 	require.Len(t, downs, 1)
 	require.Equal(t, ref.String(), downs[0]["Task"])
 	require.EqualValues(t, 1, downs[0]["Run"])
@@ -96,7 +96,7 @@
 	require.Equal(t, "Stopped", downs[0]["Cause"])
 	require.Equal(t, "its worker is leaving", downs[0]["Reason"])
 	require.Less(t, downs[0]["Since"], float64(cottonlanding.Second))
-	starts := linesOf(t, log, againMessages...)
+	starts := logLines(t, log, againMessages...)
 	require.Len(t, starts, 1)
 	require.Equal(t, ref.String(), starts[0]["Task"])
 	require.EqualValues(t, 2, starts[0]["Run"])
@@ -112,16 +112,16 @@
 // TestOneLineTellsAllDownTasksOfAWorker guards against an owner whose log grows by a line a task when a worker is lost.
 func TestOneLineTellsAllDownTasksOfAWorker(t *testing.T) {
 	w := newSpreadWorld(t)
-	log := w.listen()
+	log := w.captureLog()
 	w.play(cottonlanding.Second)
 	w.submit("lasting", "Urgent", lasting(240, 60, 100))
 	w.play(cottonlanding.Second)
 	require.Equal(t, 240, w.runner.Lasting())
 	w.crash(2)
 	w.join()
-	w.play(runAgainWithin)
+	w.play(restartTimeout)
 	require.Equal(t, 240, w.runner.Lasting())
-	downs := linesOf(t, log, downMessages...)
+	downs := logLines(t, log, downMessages...)
 	require.Len(t, downs, 2, "50 of the 60 tasks in the first")
 	require.Equal(t, "w3", downs[0]["Worker"])
 	require.Contains(t, downs[0]["Tasks"].([]any)[0], "Cause=its lease surely ran out")
@@ -129,7 +129,7 @@
 		ref := cottonlanding.TaskRef{Workflow: "lasting", Index: index}
 		require.Equal(t, told(t, log, downMessages, ref), told(t, log, againMessages, ref))
 	}
-	require.LessOrEqual(t, len(linesOf(t, log, againMessages...)), 16)
+	require.LessOrEqual(t, len(logLines(t, log, againMessages...)), 16)
 }
 
 // TestNewOwnerTellsWhatIsDown guards against a downtime that a change of owners hides.
@@ -141,21 +141,21 @@
 	w.leave(0)
 	waits := w.idle("lasting")
 	w.runner.Crash(w.workers[1].ID)
-	log := w.listen() // it loads a task that waits, one whose worker is gone, and two that run
+	log := w.captureLog() // it loads a task that waits, one whose worker is gone, and two that run
 	inDoubt := w.idle("lasting", waits)
 	w.play(cottonlanding.Second)
-	require.Len(t, linesOf(t, log, downMessages...), 1)
-	down := linesOf(t, log, downMessages...)[0]
+	require.Len(t, logLines(t, log, downMessages...), 1)
+	down := logLines(t, log, downMessages...)[0]
 	require.Equal(t, cottonlanding.TaskRef{Workflow: "lasting", Index: waits}.String(), down["Task"])
 	require.Equal(t, "Loaded", down["Cause"])
 	require.EqualValues(t, -1, down["Since"])
-	w.play(runAgainWithin)
-	require.Len(t, linesOf(t, log, downMessages...), 2)
-	down = linesOf(t, log, downMessages...)[1]
+	w.play(restartTimeout)
+	require.Len(t, logLines(t, log, downMessages...), 2)
+	down = logLines(t, log, downMessages...)[1]
 	require.Equal(t, cottonlanding.TaskRef{Workflow: "lasting", Index: inDoubt}.String(), down["Task"])
 	require.Equal(t, "its lease surely ran out", down["Cause"])
 	require.EqualValues(t, -1, down["Since"])
-	require.Empty(t, linesOf(t, log, againMessages...), "there is no room, and the others ran on")
+	require.Empty(t, logLines(t, log, againMessages...), "there is no room, and the others ran on")
 }
 
 // TestDowntimesBeginAndEndInTurn guards against lines that miss a downtime, or tell one twice: under each owner, the
@@ -163,7 +163,7 @@
 func TestDowntimesBeginAndEndInTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
-		log := w.listen()
+		log := w.captureLog()
 		w.play(cottonlanding.Second)
 		w.submit("lasting", "Urgent", lasting(6, 0, 1500))
 		w.play(cottonlanding.Second)
@@ -186,7 +186,7 @@
 				w.leave(at)
 				w.join()
 			case "owner":
-				owners = append(owners, w.listen())
+				owners = append(owners, w.captureLog())
 			case "orders":
 				w.now += turnSpan
 				w.commit()
@@ -224,7 +224,7 @@
 // keeper and the cell that takes it both tell.
 func TestDelegatedTaskTellsItsDowntime(t *testing.T) {
 	n := newNeighbours(t, 2, 2)
-	logs := []*bytes.Buffer{n.cells[0].listen(), n.cells[1].listen()}
+	logs := []*bytes.Buffer{n.cells[0].captureLog(), n.cells[1].captureLog()}
 	n.turn(100)
 	n.cells[0].submit("l", "Bulk", lastingCores(16)) // all of its cell
 	for range 5 {
@@ -250,10 +250,10 @@
 			require.Equal(t, 1, told(t, log, againMessages, ref), "cell %d", cell)
 		}
 	}
-	taken := linesOf(t, logs[1], downMessages...)
+	taken := logLines(t, logs[1], downMessages...)
 	require.Len(t, taken, 1, "all eight at once")
 	require.Equal(t, "0", taken[0]["Keeper"])
-	for _, line := range linesOf(t, logs[0], againMessages...) {
+	for _, line := range logLines(t, logs[0], againMessages...) {
 		require.Equal(t, "1", line["GuestCell"])
 	}
 }
--- a/internal/workflow/planner/evacuate.go
+++ b/internal/workflow/planner/evacuate.go
@@ -23,22 +23,22 @@
 	}
 	before := c.evacuations
 	c.evacuations = evacuations
-	if sameOrders(before, evacuations) {
+	if sameEvacuations(before, evacuations) {
 		return
 	}
-	var moved []*worker
+	var changed []*worker
 	for _, w := range c.sortedWorkers() {
-		if c.recordCordon(w) {
-			moved = append(moved, w)
+		if c.updateEvacuated(w) {
+			changed = append(changed, w)
 		}
 	}
-	starts := c.counts.RevokedStarts
+	revokedBefore := c.counts.RevokedStarts
 	c.dropUnsent(now)
-	c.logEvacuated(before, moved, c.counts.RevokedStarts-starts, now)
+	c.logEvacuated(before, changed, c.counts.RevokedStarts-revokedBefore, now)
 }
 
-// sameOrders reports whether two readings tell of the same evacuations.
-func sameOrders(a, b cottonlanding.Evacuations) bool {
+// sameEvacuations reports whether two readings tell of the same evacuations.
+func sameEvacuations(a, b cottonlanding.Evacuations) bool {
 	if len(a.Ordered) != len(b.Ordered) {
 		return false
 	}
@@ -50,9 +50,9 @@
 	return true
 }
 
-// recordCordon works out anew whether a worker's data centre is evacuated, and reports whether
+// updateEvacuated works out anew whether a worker's data centre is evacuated, and reports whether
 // that has changed.
-func (c *Cell) recordCordon(w *worker) bool {
+func (c *Cell) updateEvacuated(w *worker) bool {
 	evacuated := c.evacuations.Cover(w.info.DataCentre)
 	if evacuated == w.evacuated {
 		return false
@@ -67,37 +67,37 @@
 	return true
 }
 
-// holdBack keeps a start from going out that may wait behind others, and has the run ruled
+// withholdStart keeps a start from going out that may wait behind others, and has the run ruled
 // out if its worker has answered since and didn't list it: a copy may still be under way. A
 // start that had left by then goes on if it arrives.
-func (c *Cell) holdBack(r *run, now cottonlanding.Millis) {
+func (c *Cell) withholdStart(r *run, now cottonlanding.Millis) {
 	r.unwanted.Store(true)
 	if !r.ordered && r.worker.answered > max(r.sentAt, r.placedAt) {
-		c.takeBack(r, "its data centre is evacuated and its worker has not told of the start", now)
+		c.revokeStart(r, "its data centre is evacuated and its worker has not told of the start", now)
 	}
 }
 
-// takeBack ends a run whose start isn't wanted any more, or wasn't taken, and all of its gang
+// revokeStart ends a run whose start isn't wanted any more, or wasn't taken, and all of its gang
 // with it: the others would wait for it in vain.
-func (c *Cell) takeBack(r *run, reason string, now cottonlanding.Millis) {
-	c.endBeforeStart(r, reason, now)
-	c.takeBackGang(r, now)
+func (c *Cell) revokeStart(r *run, reason string, now cottonlanding.Millis) {
+	c.endUnstarted(r, reason, now)
+	c.revokeGang(r, now)
 }
 
-// takeBackGang takes back the other runs of a gang that can't be complete.
-func (c *Cell) takeBackGang(r *run, now cottonlanding.Millis) {
+// revokeGang takes back the other runs of a gang that can't be complete.
+func (c *Cell) revokeGang(r *run, now cottonlanding.Millis) {
 	if !r.step.Gang || r.task == nil {
 		return
 	}
 	for _, member := range r.task.stage.tasks {
 		if member.run != nil && member.run != r {
-			c.endBeforeStart(member.run, "its gang can't be complete", now)
+			c.endUnstarted(member.run, "its gang can't be complete", now)
 		}
 	}
 }
 
-// endBeforeStart ends a run of which no start may take effect any more.
-func (c *Cell) endBeforeStart(r *run, reason string, now cottonlanding.Millis) {
+// endUnstarted ends a run of which no start may take effect any more.
+func (c *Cell) endUnstarted(r *run, reason string, now cottonlanding.Millis) {
 	switch {
 	case r.stopping:
 		return
@@ -111,10 +111,10 @@
 
 // logEvacuated logs each data centre that was evacuated or taken back: how many workers it
 // has, what goes on there, and how many starts were taken back.
-func (c *Cell) logEvacuated(before cottonlanding.Evacuations, moved []*worker, starts int64, now cottonlanding.Millis) {
+func (c *Cell) logEvacuated(before cottonlanding.Evacuations, changed []*worker, revoked int64, now cottonlanding.Millis) {
 	workers := make(map[cottonlanding.DataCentre]int)
 	runs := make(map[cottonlanding.DataCentre]int)
-	for _, w := range moved {
+	for _, w := range changed {
 		workers[w.info.DataCentre]++
 		runs[w.info.DataCentre] += w.runs.size()
 	}
@@ -124,6 +124,6 @@
 			order = before.Ordered[place]
 		}
 		c.log.Info("data centre evacuated", "DataCentre", place, "Evacuated", evacuated, "Version", order.Version,
-			"KnownFor", now-order.KnownAt, "Workers", workers[place], "Runs", runs[place], "StartsTakenBack", starts)
+			"KnownFor", now-order.KnownAt, "Workers", workers[place], "Runs", runs[place], "StartsTakenBack", revoked)
 	}
 }
--- a/internal/workflow/planner/evacuate_test.go
+++ b/internal/workflow/planner/evacuate_test.go
@@ -13,48 +13,48 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-var places = []cottonlanding.DataCentre{"a", "b", "c"}
+var dataCentres = []cottonlanding.DataCentre{"a", "b", "c"}
 
-// evacuees is a world whose workers are dealt over three data centres, with orders that wait
+// evacuationWorld is a world whose workers are dealt over three data centres, with orders that wait
 // behind others before they are sent.
-type evacuees struct {
+type evacuationWorld struct {
 	*world
 	evacuated map[cottonlanding.DataCentre]cottonlanding.Evacuation
 	orders    int
 	waiting   []planner.Order
 }
 
-func newEvacuees(w *world) *evacuees {
-	e := &evacuees{world: w, evacuated: make(map[cottonlanding.DataCentre]cottonlanding.Evacuation)}
+func newEvacuationWorld(w *world) *evacuationWorld {
+	e := &evacuationWorld{world: w, evacuated: make(map[cottonlanding.DataCentre]cottonlanding.Evacuation)}
 	w.addWorker()
 	w.addWorker()
 	for at := range w.workers {
-		w.workers[at].DataCentre = places[at%len(places)]
+		w.workers[at].DataCentre = dataCentres[at%len(dataCentres)]
 	}
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
-	e.tell()
+	e.applyEvacuations()
 	return e
 }
 
-// tell has the cell know what is evacuated.
-func (e *evacuees) tell() {
+// applyEvacuations has the cell know what is evacuated.
+func (e *evacuationWorld) applyEvacuations() {
 	e.cell.SetEvacuations(cottonlanding.Evacuations{ReadAt: e.now, Ordered: maps.Clone(e.evacuated)}, e.now)
 }
 
-func (e *evacuees) evacuate(place cottonlanding.DataCentre) {
+func (e *evacuationWorld) evacuate(place cottonlanding.DataCentre) {
 	e.orders++
 	e.evacuated[place] = cottonlanding.Evacuation{DataCentre: place, Version: cottonlanding.Version(e.orders), KnownAt: e.now}
-	e.tell()
+	e.applyEvacuations()
 }
 
-func (e *evacuees) restore(place cottonlanding.DataCentre) {
+func (e *evacuationWorld) restore(place cottonlanding.DataCentre) {
 	delete(e.evacuated, place)
-	e.tell()
+	e.applyEvacuations()
 }
 
-// give takes the due orders into the queue, and sends the first ones of it as an outbox does:
+// sendOrders takes the due orders into the queue, and sends the first ones of it as an outbox does:
 // a start that is unwanted by then isn't sent.
-func (e *evacuees) give(most int, fault func() string) {
+func (e *evacuationWorld) sendOrders(most int, fault func() string) {
 	e.waiting = append(e.waiting, e.cell.Orders(e.now)...)
 	for len(e.waiting) > 0 && most > 0 {
 		order := e.waiting[0]
@@ -80,37 +80,37 @@
 	}
 }
 
-// wholeTurn decides, commits, sends all orders and looks at all workers.
-func (e *evacuees) wholeTurn() {
+// fullTurn decides, commits, sends all orders and looks at all workers.
+func (e *evacuationWorld) fullTurn() {
 	e.now += turnSpan
 	e.commit()
-	e.give(1000, func() string { return "" })
+	e.sendOrders(1000, func() string { return "" })
 	e.pollAll()
 }
 
-// TestNothingStartsWhereItIsEvacuated plays random evacuations, one or all data centres at
+// TestEvacuationStopsStarts plays random evacuations, one or all data centres at
 // once, taken back and ordered again, with starts that wait behind others, answers that are
 // lost and owners that change. No start is sent to an evacuated data centre, nothing runs
 // twice, lasting tasks go on there, and all is done in the end.
-func TestNothingStartsWhereItIsEvacuated(t *testing.T) {
+func TestEvacuationStopsStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := newEvacuees(newSpreadWorld(t))
+		e := newEvacuationWorld(newSpreadWorld(t))
 		for range 4 {
-			e.wholeTurn()
+			e.fullTurn()
 		}
 		e.submit("lasting", "Urgent", cottonlanding.Step{Tasks: 6, Lasting: true, Resources: cottonlanding.Resources{CPU: 1000}})
 		for range 4 {
-			e.wholeTurn()
+			e.fullTurn()
 		}
 		require.Equal(t, 6, e.runner.Lasting())
 		faults := rapid.SampledFrom([]string{"", "", "", "unanswered", "late"})
 		for step := range rapid.IntRange(5, 25).Draw(t, "Steps") {
-			place := rapid.SampledFrom(places).Draw(t, "Place")
+			place := rapid.SampledFrom(dataCentres).Draw(t, "Place")
 			switch rapid.SampledFrom([]string{"evacuate", "evacuate", "restore", "submit", "submit", "begin", "leave", "takeOver", "all"}).Draw(t, "Step") {
 			case "evacuate":
 				e.evacuate(place)
 			case "all":
-				for _, each := range places {
+				for _, each := range dataCentres {
 					e.evacuate(each)
 				}
 			case "restore":
@@ -124,24 +124,24 @@
 			case "takeOver":
 				e.waiting = nil
 				e.takeOver()
-				e.tell()
+				e.applyEvacuations()
 			}
 			e.now += cottonlanding.Millis(rapid.IntRange(1, 200).Draw(t, "Span"))
 			e.commit()
-			e.give(rapid.IntRange(0, 12).Draw(t, "Sent"), func() string { return faults.Draw(t, "Fault") })
+			e.sendOrders(rapid.IntRange(0, 12).Draw(t, "Sent"), func() string { return faults.Draw(t, "Fault") })
 			if rapid.Bool().Draw(t, "Look") {
 				e.pollAll()
 			}
 		}
 		require.Equal(t, 6, e.runner.Lasting(), "lasting tasks go on")
-		for _, place := range places {
+		for _, place := range dataCentres {
 			e.restore(place)
 		}
 		for _, order := range e.late {
 			_, _ = e.send(order) // the worker knows the run, or has ruled it out
 		}
 		for range 200 {
-			e.wholeTurn()
+			e.fullTurn()
 		}
 		for id := range e.accepted {
 			state, _ := e.cell.State(id)
@@ -153,51 +153,51 @@
 	})
 }
 
-// TestWorkGoesWhereItMay: what is handed in while a data centre is evacuated runs in the others
+// TestEvacuationRedirectsNewWork: what is handed in while a data centre is evacuated runs in the others
 // at once; with all of them evacuated it waits, and goes on within a second of the first one
 // that is taken back.
-func TestWorkGoesWhereItMay(t *testing.T) {
-	e := newEvacuees(newSpreadWorld(t))
+func TestEvacuationRedirectsNewWork(t *testing.T) {
+	e := newEvacuationWorld(newSpreadWorld(t))
 	for range 4 {
-		e.wholeTurn()
+		e.fullTurn()
 	}
 	step := cottonlanding.Step{Tasks: 4, Resources: cottonlanding.Resources{CPU: 1000}}
 	e.evacuate("a")
 	e.submit("b1", "Bulk", step)
 	for range 2 {
-		e.wholeTurn()
+		e.fullTurn()
 	}
 	require.Equal(t, step.Tasks, e.runner.Starts(), "there is room elsewhere")
 	e.evacuate("b")
 	e.evacuate("c")
 	e.submit("b2", "Bulk", step)
 	for range 30 {
-		e.wholeTurn()
+		e.fullTurn()
 	}
 	require.Equal(t, 1, e.cell.Waiting("Bulk"))
 	require.Equal(t, step.Tasks, e.runner.Starts(), "there is room nowhere")
 	e.restore("c")
 	for range int(cottonlanding.Second / turnSpan) {
-		e.wholeTurn()
+		e.fullTurn()
 	}
 	require.Equal(t, 2*step.Tasks, e.runner.Starts())
 }
 
-// TestGangIsTakenBackWhole: where some members of a gang can't be sent any more, the others
+// TestEvacuationRevokesWholeGang: where some members of a gang can't be sent any more, the others
 // aren't left to wait for them.
-func TestGangIsTakenBackWhole(t *testing.T) {
-	e := newEvacuees(newSpreadWorld(t))
+func TestEvacuationRevokesWholeGang(t *testing.T) {
+	e := newEvacuationWorld(newSpreadWorld(t))
 	for range 4 {
-		e.wholeTurn()
+		e.fullTurn()
 	}
 	e.submit("slowGang", "Bulk", cottonlanding.Step{Tasks: 6, Gang: true, Resources: cottonlanding.Resources{CPU: 2000}})
 	e.now += turnSpan
 	e.commit()
-	e.give(3, func() string { return "" })
+	e.sendOrders(3, func() string { return "" })
 	require.Equal(t, 3, e.runner.Running(), "half of the gang has started")
 	e.evacuate("c")
 	for range 20 {
-		e.wholeTurn()
+		e.fullTurn()
 	}
 	require.Equal(t, 6, e.runner.Running(), "all members run, in the other data centres")
 	require.Empty(t, e.runner.Violations())
--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -89,7 +89,7 @@
 		return 0, 0
 	}
 	row := j.row()
-	row.leaveOut(math.MaxInt)
+	row.dropCheckpoints(math.MaxInt)
 	all := j.size
 	if row.Rounds.LeftOut == 0 {
 		all.done += j.leftOut * tasksPerRound(j.Workflow)
@@ -140,11 +140,11 @@
 			runs = append(runs, fmt.Sprintf("%s#%d phase %d stopping %t cpu %d", r.Task, r.Number, r.phase, r.stopping, r.step.Resources.CPU))
 		}
 		return fmt.Sprintf("full: free %d, runs %v", room.free.CPU, runs)
-	case w.keptFrom(t, now):
+	case w.heldFrom(t, now):
 		return "kept for " + w.keptFor.ref.String()
 	case c.keptApart(t, w, now):
 		return "kept apart"
-	case c.isDue(t, w, now):
+	case c.reservedForOthers(t, w, now):
 		return "due to others"
 	}
 	return "free"
--- a/internal/workflow/planner/gang.go
+++ b/internal/workflow/planner/gang.go
@@ -16,7 +16,7 @@
 		number = max(number, t.number)
 	}
 	for _, rack := range c.gangRacks(s) {
-		if c.placeAll(s, rack, number+1, now) {
+		if c.placeGangIn(s, rack, number+1, now) {
 			return len(s.tasks)
 		}
 	}
@@ -37,7 +37,7 @@
 	return append(racks, "")
 }
 
-func (c *Cell) placeAll(s *stage, rack cottonlanding.Rack, number cottonlanding.RunNumber, now cottonlanding.Millis) bool {
+func (c *Cell) placeGangIn(s *stage, rack cottonlanding.Rack, number cottonlanding.RunNumber, now cottonlanding.Millis) bool {
 	chosen := make([]*worker, 0, len(s.tasks))
 	defer func() {
 		for i, w := range chosen {
@@ -45,7 +45,7 @@
 		}
 	}()
 	for _, t := range s.tasks {
-		w := c.pickIn(t, rack, now)
+		w := c.pickInRack(t, rack, now)
 		if w == nil {
 			return false
 		}
@@ -66,7 +66,7 @@
 	return true
 }
 
-func (c *Cell) pickIn(t *task, rack cottonlanding.Rack, now cottonlanding.Millis) *worker {
+func (c *Cell) pickInRack(t *task, rack cottonlanding.Rack, now cottonlanding.Millis) *worker {
 	if rack == "" {
 		return c.pick(t, now)
 	}
@@ -76,7 +76,7 @@
 			candidates = append(candidates, w)
 		}
 	}
-	return c.ask(t, candidates, now)
+	return c.choose(t, candidates, now)
 }
 
 // livesBytes returns the most that a gang takes more in a row while it's placed on workers.
--- a/internal/workflow/planner/lastingwaits_test.go
+++ b/internal/workflow/planner/lastingwaits_test.go
@@ -282,7 +282,7 @@
 		w.submit(cottonlanding.WorkflowID(fmt.Sprintf("b%d", number)), "Urgent", step)
 	}
 	w.playBeside(3*cottonlanding.Second, stream)
-	log := w.listen()
+	log := w.captureLog()
 	w.playBeside(cottonlanding.Second, stream)
 	for _, at := range leaving {
 		w.workers[at].State = cottonlanding.Leaving
@@ -290,7 +290,7 @@
 	w.relist()
 	w.playBeside(6*cottonlanding.Second, stream)
 	atOnce := 0
-	for _, line := range linesOf(t, log, "capacity reserved") {
+	for _, line := range logLines(t, log, "capacity reserved") {
 		if line["Waited"].(float64) < 5200 {
 			atOnce++
 		}
--- a/internal/workflow/planner/learnt.go
+++ b/internal/workflow/planner/learnt.go
@@ -68,9 +68,9 @@
 // inherit takes in what a predecessor has learnt.
 func (p *pressure) inherit(row learntRow) {
 	for _, serving := range row.Serving {
-		known := newEstimate()
+		known := newWeightEstimate()
 		for _, pair := range serving.Pairs {
-			known.add(pair.Image)
+			known.addImage(pair.Image)
 			at := known.index[pair.Image]
 			doubt := max(pair.Doubt, inheritedDoubt)
 			known.weights[at], known.doubt[at][at] = pair.Weight, doubt*doubt
--- a/internal/workflow/planner/longids_test.go
+++ b/internal/workflow/planner/longids_test.go
@@ -25,6 +25,6 @@
 			cell.Looked(next, cottonlanding.RunReport{Born: worker.Born, Reading: cottonlanding.Reading(now)}, now, now)
 		}
 		cell.Decide(now, 1_750_000_000_000)
-		commitFitting(t, cell, now)
+		commitWithinLimit(t, cell, now)
 	}
 }
--- a/internal/workflow/planner/move_test.go
+++ b/internal/workflow/planner/move_test.go
@@ -10,14 +10,14 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// movesWithin is how long a filling task may stand still while another worker could run it:
+// moveTimeout is how long a filling task may stand still while another worker could run it:
 // about half of what the tasks of filling workflows take, which all wait for their last one.
-const movesWithin = cottonlanding.Second
+const moveTimeout = cottonlanding.Second
 
-// TestFillerThatStandsStillIsMovedSoon: a filling task beside a serving one that is over its
+// TestPausedFillingTaskMoves: a filling task beside a serving one that is over its
 // target stands still, and is stopped to go on where there is room well before its workflow's
 // other tasks are done.
-func TestFillerThatStandsStillIsMovedSoon(t *testing.T) {
+func TestPausedFillingTaskMoves(t *testing.T) {
 	now := cottonlanding.Millis(1000)
 	cell := planner.New(planner.Setup{Partition: partition, Epoch: 1, BeforeUntil: now}, timing, selector.Default().Planner, discardLog())
 	cell.SetQueues(cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{
@@ -79,5 +79,5 @@
 	require.NotZero(t, pausedAt)
 	require.NotZero(t, stopped)
 	t.Logf("stands still at %d, stopped at %d", pausedAt, stopped)
-	require.LessOrEqual(t, stopped-pausedAt, movesWithin)
+	require.LessOrEqual(t, stopped-pausedAt, moveTimeout)
 }
--- a/internal/workflow/planner/order.go
+++ b/internal/workflow/planner/order.go
@@ -298,7 +298,7 @@
 // dropNeverStarted ends a run that its worker surely never starts, and all of its gang with it.
 func (c *Cell) dropNeverStarted(r *run, now cottonlanding.Millis) {
 	c.dropRun(r, now)
-	c.takeBackGang(r, now)
+	c.revokeGang(r, now)
 }
 
 func (c *Cell) stopAnswered(r *run, order Order, err error, now cottonlanding.Millis) {
--- a/internal/workflow/planner/place.go
+++ b/internal/workflow/planner/place.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// servingShare is the part of its processors that a serving task is expected
+	// defaultServingUse is the part of its processors that a serving task is expected
 	// to use before its load was seen.
-	servingShare = 0.6
-	// leastFillShare is the part of its processors that a filling task must be
+	defaultServingUse = 0.6
+	// minFillingShare is the part of its processors that a filling task must be
 	// expected to get for it to be placed: one after the other are done sooner than
 	// all at half their speed.
-	leastFillShare = 0.8
-	// starvedAfter is how long a workflow of filling tasks may have nothing running
+	minFillingShare = 0.8
+	// starvationTimeout is how long a workflow of filling tasks may have nothing running
 	// while there is room: it must not come to three seconds.
-	starvedAfter = 1500 * cottonlanding.Millis(1)
-	// noRoomPause is the pause between two attempts to make room for a step.
-	noRoomPause = 100 * cottonlanding.Millis(1)
+	starvationTimeout = 1500 * cottonlanding.Millis(1)
+	// makeRoomRetryInterval is the pause between two attempts to make room for a step.
+	makeRoomRetryInterval = 100 * cottonlanding.Millis(1)
 	// maxPlacements bounds the decisions of one call, so that their commit stays small.
 	maxPlacements = 400
 )
@@ -30,14 +30,14 @@
 	c.lapse(now)
 	c.recordSilences(now)
 	c.dropUnsent(now)
-	c.leaveDraining(now)
+	c.stopOnLeavingWorkers(now)
 	c.leaveUnheard(now)
 	c.beginRounds(now, wall)
 	c.place(now)
 	c.returnGuests(now)
 	c.prune(now)
 	c.logDowntimes()
-	c.logMissed(now)
+	c.logBlocked(now)
 	c.logSummary(now)
 }
 
@@ -57,9 +57,9 @@
 	}
 }
 
-// leaveDraining stops lasting and checkpointing runs on workers that will end, so
+// stopOnLeavingWorkers stops lasting and checkpointing runs on workers that will end, so
 // that they go on elsewhere.
-func (c *Cell) leaveDraining(now cottonlanding.Millis) {
+func (c *Cell) stopOnLeavingWorkers(now cottonlanding.Millis) {
 	for _, w := range c.sortedWorkers() {
 		if !w.leaving() || !w.listed {
 			continue
@@ -75,8 +75,8 @@
 // place gives waiting tasks to workers, urgent queues first.
 func (c *Cell) place(now cottonlanding.Millis) {
 	placed := 0
-	var misses missList
-	c.reckonDues(now)
+	var failures placementFailures
+	c.computeReservations(now)
 	for _, s := range c.waitingStages(now) {
 		if placed >= maxPlacements {
 			return
@@ -85,28 +85,28 @@
 			placed += c.placeGang(s, now)
 			continue
 		}
-		placed += c.placeStage(s, maxPlacements-placed, &misses, now)
+		placed += c.placeStage(s, maxPlacements-placed, &failures, now)
 	}
 }
 
 // placeStage gives the waiting tasks of a step to workers, up to a number of them, and
 // returns how many.
-func (c *Cell) placeStage(s *stage, most int, misses *missList, now cottonlanding.Millis) int {
+func (c *Cell) placeStage(s *stage, limit int, failures *placementFailures, now cottonlanding.Millis) int {
 	defer c.logPlaced()
 	placed := 0
-	for _, t := range s.inTurn(now) {
-		if placed >= most {
+	for _, t := range s.placementOrder(now) {
+		if placed >= limit {
 			return placed
 		}
 		if t.state != taskWaiting {
 			continue
 		}
-		w := c.pickUnlessMissed(t, misses, now)
-		if w == nil && !t.mustRunAgain(now) && (c.apart(t, now) || c.yieldsInStep(t)) {
+		w := c.pickUnlessRuledOut(t, failures, now)
+		if w == nil && !t.mustRunAgain(now) && (c.apart(t, now) || c.yieldsWithinStep(t)) {
 			continue // there may be room beside others, or for others
 		}
 		if w == nil {
-			c.noRoom(t, now)
+			c.handleNoRoom(t, now)
 			return placed // the others of the step need the same
 		}
 		if !t.job.hasRoomForLives(lifeBytes(w.life())) {
@@ -119,43 +119,43 @@
 	return placed
 }
 
-// inTurn returns the tasks of a step in the order in which they are placed.
-func (s *stage) inTurn(now cottonlanding.Millis) []*task {
+// placementOrder returns the tasks of a step in the order in which they are placed.
+func (s *stage) placementOrder(now cottonlanding.Millis) []*task {
 	if !s.Lasting {
 		return s.tasks
 	}
 	tasks := slices.Clone(s.tasks)
-	slices.SortStableFunc(tasks, func(a, b *task) int { return compareTurns(a, b, now) })
+	slices.SortStableFunc(tasks, func(a, b *task) int { return comparePrecedence(a, b, now) })
 	return tasks
 }
 
-// pickUnlessMissed returns the worker for a task, without looking when a task
+// pickUnlessRuledOut returns the worker for a task, without looking when a task
 // that needs no more found none in this pass.
-func (c *Cell) pickUnlessMissed(t *task, misses *missList, now cottonlanding.Millis) *worker {
-	if !misses.cover(t) {
+func (c *Cell) pickUnlessRuledOut(t *task, failures *placementFailures, now cottonlanding.Millis) *worker {
+	if !failures.ruleOut(t) {
 		if w := c.pick(t, now); w != nil {
 			return w
 		}
 		if !c.apart(t, now) {
-			misses.add(t)
+			failures.add(t)
 		}
 	}
 	return c.pickStarved(t, now)
 }
 
-// noRoom looks for what can be done for a task that found no worker, from time
+// handleNoRoom looks for what can be done for a task that found no worker, from time
 // to time: the workers change little in between.
-func (c *Cell) noRoom(t *task, now cottonlanding.Millis) {
+func (c *Cell) handleNoRoom(t *task, now cottonlanding.Millis) {
 	if now < t.stage.nextRoomTry {
 		return
 	}
-	t.stage.nextRoomTry = now + noRoomPause
+	t.stage.nextRoomTry = now + makeRoomRetryInterval
 	if !t.job.hasRoomForLives(widestLife) {
 		c.logRowFull(t, now)
 		return // nothing is to give way for a task that may not be placed
 	}
-	c.makeRoom(t, now)
-	c.keepRooms(t, now)
+	c.preemptFor(t, now)
+	c.holdWorkers(t, now)
 	c.logWaiting(t, now)
 }
 
@@ -173,7 +173,7 @@
 		t.job.state = cottonlanding.WorkflowRunning
 	}
 	c.markDirty(t.job)
-	c.reserved.recordTaken(t)
+	c.reserved.deduct(t)
 	c.recordBegun(t, w, now)
 	c.logBatch.recordPlaced(t, w, now)
 }
@@ -182,40 +182,40 @@
 type preference int
 
 const (
-	// nearData workers are on the rack of the task's data.
-	nearData preference = iota
-	// companion workers have serving tasks that go well with the task.
-	companion
-	// unshared workers have no serving tasks.
-	unshared
+	// onDataRack workers are on the rack of the task's data.
+	onDataRack preference = iota
+	// compatible workers have serving tasks that go well with the task.
+	compatible
+	// withoutServing workers have no serving tasks.
+	withoutServing
 	// ordinary workers are all other sound ones.
 	ordinary
-	// doubtful workers failed lately, are slow, failed this task, or are kept for a run that runs apart; for lasting
+	// shouldAvoid workers failed lately, are slow, failed this task, or are kept for a run that runs apart; for lasting
 	// tasks also those of which it would be known late that they have ended.
-	doubtful
+	shouldAvoid
 	preferences
 )
 
-// prefer returns how well a worker suits a task. Serving tasks go beside others of
+// preferenceFor returns how well a worker suits a task. Serving tasks go beside others of
 // their image, so that the filling tasks that this image bears well find workers
 // on which nothing else serves. Filling tasks go where they disturb nobody, beside
 // serving tasks first, to leave the other workers to those that disturb.
-func (c *Cell) prefer(t *task, w *worker, now cottonlanding.Millis) preference {
+func (c *Cell) preferenceFor(t *task, w *worker, now cottonlanding.Millis) preference {
 	room := c.room(w, now)
 	serves := t.stage.Serves()
 	switch {
 	case w.health.doubtful(now) || w.runsApart(now) || len(t.failedOn) > 0 && slices.Contains(t.failedOn, w.life()):
-		return doubtful
+		return shouldAvoid
 	case t.stage.Lasting && c.mayOutlast(w, now):
-		return doubtful
+		return shouldAvoid
 	case c.policy.Blame.Isolates(t.crashes) && (w.lastingRuns() || !w.steady(now)):
-		return doubtful
+		return shouldAvoid
 	case t.stage.DataRack != "" && w.info.Rack == t.stage.DataRack:
-		return nearData
+		return onDataRack
 	case t.stage.Fills && c.withinInterferenceBudget(w, t.stage.Step, now), serves && room.serves(t.stage.Image):
-		return companion
+		return compatible
 	case (t.stage.Fills || serves) && len(room.slacks) == 0:
-		return unshared
+		return withoutServing
 	}
 	return ordinary
 }
@@ -225,7 +225,7 @@
 	var fitting [preferences][]*worker
 	for _, w := range c.sortedWorkers() {
 		if c.fits(t, w, now) {
-			at := c.prefer(t, w, now)
+			at := c.preferenceFor(t, w, now)
 			fitting[at] = append(fitting[at], w)
 		}
 	}
@@ -233,7 +233,7 @@
 		if preference(at) == ordinary && t.stage.Serves() {
 			candidates = c.narrow(t, candidates, now)
 		}
-		if w := c.ask(t, c.together(t, candidates, now), now); w != nil {
+		if w := c.choose(t, c.together(t, candidates, now), now); w != nil {
 			return w
 		}
 	}
@@ -242,16 +242,16 @@
 
 // fits reports whether a worker may run a task and has room for it now.
 func (c *Cell) fits(t *task, w *worker, now cottonlanding.Millis) bool {
-	return c.gate(t, w, now) == noGate
+	return c.rejection(t, w, now) == notRejected
 }
 
 // allowed reports whether a worker may run a task, if it had room.
 func (c *Cell) allowed(t *task, w *worker, now cottonlanding.Millis) bool {
-	return w.usable(now) && w.suits(t) && !w.boundReached(t)
+	return w.usable(now) && w.meetsRequirements(t) && !w.atStepLimit(t)
 }
 
-// countOf counts the runs of a task's step and round.
-func (w *worker) countOf(ref cottonlanding.TaskRef) int {
+// runsOfStep counts the runs of a task's step and round.
+func (w *worker) runsOfStep(ref cottonlanding.TaskRef) int {
 	count := 0
 	for _, r := range w.runs.all() {
 		key := r.RunKey
@@ -281,14 +281,14 @@
 // use: as much as it is busy.
 func (r *run) servingUse() float64 {
 	if r.task == nil || !r.task.stage.load.known() {
-		return servingShare
+		return defaultServingUse
 	}
 	return r.task.stage.load.value
 }
 
-// ask lets the policy choose. Filling tasks see what is expected to be left of a
+// choose lets the policy choose. Filling tasks see what is expected to be left of a
 // worker, all others its unreserved room.
-func (c *Cell) ask(t *task, candidates []*worker, now cottonlanding.Millis) *worker {
+func (c *Cell) choose(t *task, candidates []*worker, now cottonlanding.Millis) *worker {
 	if len(candidates) == 0 {
 		return nil
 	}
@@ -296,7 +296,7 @@
 	for i, w := range candidates {
 		views[i] = cottonlanding.WorkerView{ID: w.info.ID, Rack: w.info.Rack, Capacity: w.info.Capacity, Free: c.room(w, now).free, Tasks: w.runs.size()}
 		if t.stage.Fills {
-			views[i].Free.CPU = c.fillRoom(w, t.stage.Step, now)
+			views[i].Free.CPU = c.fillingCPU(w, t.stage.Step, now)
 		}
 	}
 	view := cottonlanding.TaskView{
@@ -311,9 +311,9 @@
 	return candidates[at]
 }
 
-// fillRoom returns the processors that a filling task may expect on a worker, less
+// fillingCPU returns the processors that a filling task may expect on a worker, less
 // the fewer the more it would have to be slowed there.
-func (c *Cell) fillRoom(w *worker, step cottonlanding.Step, now cottonlanding.Millis) cottonlanding.Millicores {
+func (c *Cell) fillingCPU(w *worker, step cottonlanding.Step, now cottonlanding.Millis) cottonlanding.Millicores {
 	return cottonlanding.Millicores(float64(c.room(w, now).spare) * c.bearable(w, step, now))
 }
 
@@ -321,7 +321,7 @@
 // nothing running for a while: the one that bears it best. It is slowed there as
 // far as the serving tasks need it.
 func (c *Cell) pickStarved(t *task, now cottonlanding.Millis) *worker {
-	if !t.stage.Fills || now-t.waitingSince < starvedAfter || now < t.stage.nextRoomTry || t.job.anyRun() {
+	if !t.stage.Fills || now-t.waitingSince < starvationTimeout || now < t.stage.nextRoomTry || t.job.anyRun() {
 		return nil
 	}
 	var best *worker
--- a/internal/workflow/planner/place_test.go
+++ b/internal/workflow/planner/place_test.go
@@ -11,9 +11,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestLargeTaskIsNotStarved checks that a task that needs a whole worker gets it while
+// TestLargeTaskStartsAmongSmallOnes checks that a task that needs a whole worker gets it while
 // small ones use a third of all workers, spread over them.
-func TestLargeTaskIsNotStarved(t *testing.T) {
+func TestLargeTaskStartsAmongSmallOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		small := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 1500, Memory: cottonlanding.Gigabyte}, Estimate: 500}
@@ -48,9 +48,9 @@
 	})
 }
 
-// TestRoomIsKeptWhereItCanCome checks that a large task waits at a worker whose
+// TestHeldWorkerCanBecomeFree checks that a large task waits at a worker whose
 // runs will end, not at one that has more room now but lasting tasks beside it.
-func TestRoomIsKeptWhereItCanCome(t *testing.T) {
+func TestHeldWorkerCanBecomeFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		play := func() { w.turn(50) }
@@ -83,9 +83,9 @@
 	})
 }
 
-// TestOneDecisionPlacesSoMany: a decision holds up all else of an owner, so that a wide
+// TestPlacementsPerDecisionAreBounded: a decision holds up all else of an owner, so that a wide
 // step is placed in several.
-func TestOneDecisionPlacesSoMany(t *testing.T) {
+func TestPlacementsPerDecisionAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const mostAtOnce = 400
 		w := newWorld(t)
--- a/internal/workflow/planner/miss.go
+++ b/internal/workflow/planner/placementfailure.go
@@ -2,9 +2,9 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// miss is a task that found no worker in a pass. Workers only fill up during a
+// placementFailure is a task that found no worker in a pass. Workers only fill up during a
 // pass, so that a task which needs as much or more finds none either.
-type miss struct {
+type placementFailure struct {
 	service cottonlanding.ServiceName
 	label   cottonlanding.Label
 	kind    kind
@@ -12,13 +12,13 @@
 	need    cottonlanding.Resources
 }
 
-// missList holds the misses of one pass.
-type missList struct {
-	misses []miss
+// placementFailures holds the misses of one pass.
+type placementFailures struct {
+	failures []placementFailure
 }
 
-func missOf(t *task) miss {
-	out := miss{
+func placementFailureOf(t *task) placementFailure {
+	out := placementFailure{
 		service: t.job.queue.Service,
 		label:   t.stage.Requires,
 		kind:    kindOf(t.stage.Step),
@@ -31,20 +31,20 @@
 }
 
 // add notes a miss, unless it comes from a bound of the task's own.
-func (l *missList) add(t *task) {
+func (l *placementFailures) add(t *task) {
 	if t.stage.MostPerWorker == 0 {
-		l.misses = append(l.misses, missOf(t))
+		l.failures = append(l.failures, placementFailureOf(t))
 	}
 }
 
-// cover reports whether a task surely finds no worker. Room may be kept for a
+// ruleOut reports whether a task surely finds no worker. Room may be kept for a
 // lasting task alone, so that nothing is sure for those.
-func (l *missList) cover(t *task) bool {
+func (l *placementFailures) ruleOut(t *task) bool {
 	if t.stage.Lasting {
 		return false
 	}
-	wanted := missOf(t)
-	for _, m := range l.misses {
+	wanted := placementFailureOf(t)
+	for _, m := range l.failures {
 		same := m.service == wanted.service && m.label == wanted.label && m.kind == wanted.kind && m.image == wanted.image
 		if same && m.need.Fits(wanted.need) {
 			return true
--- a/internal/workflow/planner/plan.go
+++ b/internal/workflow/planner/plan.go
@@ -219,7 +219,7 @@
 	if !j.persisted {
 		plan.add(cottonlanding.Write{Key: spec, Value: j.spec, Unchecked: true})
 	}
-	plan.add(cottonlanding.Write{Key: state, Expect: j.version, Value: encodeFitting(j.row()), Unchecked: true})
+	plan.add(cottonlanding.Write{Key: state, Expect: j.version, Value: encodeWithinLimit(j.row()), Unchecked: true})
 	j.eachTask(func(t *task) {
 		if t.run != nil && t.run.phase == planned {
 			plan.runs = append(plan.runs, t.run)
--- a/internal/workflow/planner/preempt.go
+++ b/internal/workflow/planner/preempt.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// roomPatience is how long a task waits for the room that others are being
+	// preemptionTimeout is how long a task waits for the room that others are being
 	// stopped for: the longest stop and a look.
-	roomPatience = 1500 * cottonlanding.Millis(1)
-	// roomFactor is how many times over there must be room in sum. Source: the rule
+	preemptionTimeout = 1500 * cottonlanding.Millis(1)
+	// headroomFactor is how many times over there must be room in sum. Source: the rule
 	// that asks for a start where capacity exists twice over.
-	roomFactor = 2
-	// keepAfter is how long a lasting task waits before a worker is kept for it,
+	headroomFactor = 2
+	// holdAfter is how long a lasting task waits before a worker is kept for it,
 	// keepFor how long that lasts at most. The rule asks for a start after some nine
 	// seconds; each worker that is kept costs short tasks, so that as few are kept as
 	// can be: one at a time for each workersPerKept, on which one was enough. For tasks that
 	// were interrupted it is one for each workersPerInterrupted, since each has to start in time.
-	keepAfter             = 5 * cottonlanding.Second
-	keepFor               = 4 * cottonlanding.Second
-	workersPerKept        = 48
-	workersPerInterrupted = 4
+	holdAfter                 = 5 * cottonlanding.Second
+	holdTimeout               = 4 * cottonlanding.Second
+	workersPerHold            = 48
+	workersPerInterruptedHold = 4
 )
 
-// makeRoom stops runs of less urgent queues on the worker where that loses the
+// preemptFor stops runs of less urgent queues on the worker where that loses the
 // least, unless room is being made already.
-func (c *Cell) makeRoom(t *task, now cottonlanding.Millis) {
+func (c *Cell) preemptFor(t *task, now cottonlanding.Millis) {
 	if now < t.preemptionUntil || t.stage.Fills {
 		return
 	}
 	var best []*run
 	lowest := 0.0
 	for _, w := range c.sortedWorkers() {
-		if !t.stage.Reserved().Fits(c.room(w, now).most(t.job.queue.Priority)) {
+		if !t.stage.Reserved().Fits(c.room(w, now).withPreemption(t.job.queue.Priority)) {
 			continue // weighing all runs of all workers would take most of an owner's time
 		}
-		if !c.allowed(t, w, now) || w.health.doubtful(now) || c.isDue(t, w, now) {
+		if !c.allowed(t, w, now) || w.health.doubtful(now) || c.reservedForOthers(t, w, now) {
 			continue
 		}
 		victims, loss := c.victims(t, w, now)
@@ -48,114 +48,114 @@
 	if best == nil {
 		return
 	}
-	t.preemptionUntil = now + roomPatience
+	t.preemptionUntil = now + preemptionTimeout
 	for _, r := range best {
 		c.counts.Evicted++
 		c.stop(r, "it gives way to "+t.ref.String(), now)
 	}
 }
 
-// keepRooms keeps workers free for a task, and for those of its step that were interrupted as well: the turn of
+// holdWorkers keeps workers free for a task, and for those of its step that were interrupted as well: the turn of
 // the step ends with the first that finds no room.
-func (c *Cell) keepRooms(t *task, now cottonlanding.Millis) {
-	if !c.keepRoom(t, now) {
+func (c *Cell) holdWorkers(t *task, now cottonlanding.Millis) {
+	if !c.holdWorker(t, now) {
 		return
 	}
 	for _, other := range t.stage.tasks {
-		if other.claim(now) == brokenClaim && !c.keepRoom(other, now) {
+		if other.precedence(now) == interruptedPrecedence && !c.holdWorker(other, now) {
 			return
 		}
 	}
 }
 
-// keepRoom keeps a worker free for a lasting task that has waited for long although
+// holdWorker keeps a worker free for a lasting task that has waited for long although
 // there is room in sum, or short ones would take that as soon as one worker has
 // enough of it. It reports whether one is kept.
-func (c *Cell) keepRoom(t *task, now cottonlanding.Millis) bool {
-	if !t.waitsLong(now) || !c.roomInSum(t, now) {
+func (c *Cell) holdWorker(t *task, now cottonlanding.Millis) bool {
+	if !t.waitsLong(now) || !c.hasTotalHeadroom(t, now) {
 		return false
 	}
-	kept := 0
+	held := 0
 	var best *worker
 	for _, w := range c.sortedWorkers() {
-		if w.kept(now) {
+		if w.held(now) {
 			if w.keptFor == t {
 				return true
 			}
-			kept++
+			held++
 			continue
 		}
-		possible := c.allowed(t, w, now) && t.stage.Reserved().Fits(w.passing()) && !c.isDue(t, w, now)
+		possible := c.allowed(t, w, now) && t.stage.Reserved().Fits(w.roomBesideLasting()) && !c.reservedForOthers(t, w, now)
 		if possible && (best == nil || c.room(w, now).free.CPU > c.room(best, now).free.CPU) {
 			best = w
 		}
 	}
-	if best == nil || kept >= c.mostKept(t, now) {
+	if best == nil || held >= c.maxHeld(t, now) {
 		return false
 	}
-	best.keptFor, best.keptUntil = t, now+keepFor
+	best.keptFor, best.keptUntil = t, now+holdTimeout
 	c.log.Info("capacity reserved", "Task", t.ref.String(), "Worker", best.info.ID, "Waited", now-t.waitingSince, "Free", int64(c.room(best, now).free.CPU))
 	return true
 }
 
-// mostKept returns how many workers may be kept for a task to get another one. Of many that were
+// maxHeld returns how many workers may be kept for a task to get another one. Of many that were
 // interrupted at once each has its time, so that they don't wait for one another. Where lasting tasks hold most of the
 // room, short ones make way for few of them, and what is kept would be missing to smaller ones here and in other cells.
-func (c *Cell) mostKept(t *task, now cottonlanding.Millis) int {
-	if t.claim(now) == brokenClaim && !c.reserved.little(t) {
-		return max(1, len(c.workers)/workersPerInterrupted)
+func (c *Cell) maxHeld(t *task, now cottonlanding.Millis) int {
+	if t.precedence(now) == interruptedPrecedence && !c.reserved.nearlyFull(t) {
+		return max(1, len(c.workers)/workersPerInterruptedHold)
 	}
-	return max(1, len(c.workers)/workersPerKept)
+	return max(1, len(c.workers)/workersPerHold)
 }
 
 // waitsLong reports whether a lasting task has waited, or was down, for so long that a worker is
 // kept for it.
 func (t *task) waitsLong(now cottonlanding.Millis) bool {
 	waits := t.state == taskWaiting && !t.job.state.Final()
-	return waits && t.stage.Lasting && !t.stage.Fills && now-t.downSince() >= keepAfter
+	return waits && t.stage.Lasting && !t.stage.Fills && now-t.downSince() >= holdAfter
 }
 
-// claim is how strong a claim on room a task has.
-type claim int
+// precedence is how strong a precedence on room a task has.
+type precedence int
 
 const (
-	// noClaim is that of tasks that end by themselves, or wait only for a while.
-	noClaim claim = iota
-	// longClaim is that of lasting tasks that have waited for long.
-	longClaim
-	// brokenClaim is that of such that had a run: their users miss them, and the rule
+	// normalPrecedence is that of tasks that end by themselves, or wait only for a while.
+	normalPrecedence precedence = iota
+	// longWaitPrecedence is that of lasting tasks that have waited for long.
+	longWaitPrecedence
+	// interruptedPrecedence is that of such that had a run: their users miss them, and the rule
 	// sets a time for their next run.
-	brokenClaim
+	interruptedPrecedence
 )
 
-func (t *task) claim(now cottonlanding.Millis) claim {
+func (t *task) precedence(now cottonlanding.Millis) precedence {
 	switch {
 	case !t.waitsLong(now):
-		return noClaim
+		return normalPrecedence
 	case t.number == 0:
-		return longClaim
+		return longWaitPrecedence
 	}
-	return brokenClaim
+	return interruptedPrecedence
 }
 
-// interruptedFor is for how long after the end of its run a lasting task goes before
+// interruptionWindow is for how long after the end of its run a lasting task goes before
 // others: some turns. Later its room is others', and it waits as they do until its claim is
 // strong.
-const interruptedFor = 500 * cottonlanding.Millis(1)
+const interruptionWindow = 500 * cottonlanding.Millis(1)
 
 // justInterrupted reports whether the run of a lasting task has ended just now.
 func (t *task) justInterrupted(now cottonlanding.Millis) bool {
-	return t.stage.Lasting && t.state == taskWaiting && t.number > 0 && now-t.waitingSince < interruptedFor
+	return t.stage.Lasting && t.state == taskWaiting && t.number > 0 && now-t.waitingSince < interruptionWindow
 }
 
-// compareTurns orders tasks by their claims, then by how long they wait.
-func compareTurns(a, b *task, now cottonlanding.Millis) int {
-	return cmp.Or(cmp.Compare(b.claim(now), a.claim(now)), cmp.Compare(a.waitingSince, b.waitingSince))
+// comparePrecedence orders tasks by their claims, then by how long they wait.
+func comparePrecedence(a, b *task, now cottonlanding.Millis) int {
+	return cmp.Or(cmp.Compare(b.precedence(now), a.precedence(now)), cmp.Compare(a.waitingSince, b.waitingSince))
 }
 
-// passing returns the room of a worker beside its lasting tasks: what is free or
+// roomBesideLasting returns the room of a worker beside its lasting tasks: what is free or
 // will be by itself.
-func (w *worker) passing() cottonlanding.Resources {
+func (w *worker) roomBesideLasting() cottonlanding.Resources {
 	room := w.info.Capacity
 	for _, r := range w.runs.all() {
 		if r.step.Lasting && !r.stopping {
@@ -165,32 +165,32 @@
 	return room
 }
 
-// roomInSum reports whether the workers that may run the task have room for it
+// hasTotalHeadroom reports whether the workers that may run the task have room for it
 // several times over, if it were in one place.
-func (c *Cell) roomInSum(t *task, now cottonlanding.Millis) bool {
+func (c *Cell) hasTotalHeadroom(t *task, now cottonlanding.Millis) bool {
 	var sum cottonlanding.Resources
 	for _, w := range c.sortedWorkers() {
 		if c.allowed(t, w, now) {
 			sum = sum.Plus(c.room(w, now).free)
 		}
 	}
-	return t.stage.Reserved().Times(roomFactor).Fits(sum)
+	return t.stage.Reserved().Times(headroomFactor).Fits(sum)
 }
 
-// kept reports whether the worker is kept: the task for which that is still waits,
+// held reports whether the worker is held: the task for which that is still waits,
 // and may still find its room here.
-func (w *worker) kept(now cottonlanding.Millis) bool {
+func (w *worker) held(now cottonlanding.Millis) bool {
 	t := w.keptFor
-	return t != nil && now < w.keptUntil && !w.cordoned() && t.waitsLong(now) && t.stage.Reserved().Fits(w.passing())
+	return t != nil && now < w.keptUntil && !w.cordoned() && t.waitsLong(now) && t.stage.Reserved().Fits(w.roomBesideLasting())
 }
 
-// keptFrom reports whether the worker's room is kept from a task: from all but the
+// heldFrom reports whether the worker's room is kept from a task: from all but the
 // one for which it is kept, those that go before that one, and those that can't wait any more.
-func (w *worker) keptFrom(t *task, now cottonlanding.Millis) bool {
-	if t.stage.Fills || w.keptFor == t || !w.kept(now) || t.mustRunAgain(now) {
+func (w *worker) heldFrom(t *task, now cottonlanding.Millis) bool {
+	if t.stage.Fills || w.keptFor == t || !w.held(now) || t.mustRunAgain(now) {
 		return false
 	}
-	return compareTurns(t, w.keptFor, now) >= 0
+	return comparePrecedence(t, w.keptFor, now) >= 0
 }
 
 // victims returns the runs to stop on a worker for a task to fit, and the work
@@ -210,15 +210,15 @@
 	if t.stage.Reserved().Fits(free) {
 		return nil, 0
 	}
-	slices.SortStableFunc(candidates, func(a, b *run) int { return cmp.Compare(a.loss(now), b.loss(now)) })
+	slices.SortStableFunc(candidates, func(a, b *run) int { return cmp.Compare(a.lostWork(now), b.lostWork(now)) })
 	var out []*run
-	loss := 0.0
+	lostWork := 0.0
 	for _, r := range candidates {
 		out = append(out, r)
-		loss += r.loss(now)
+		lostWork += r.lostWork(now)
 		free = free.Plus(r.step.Reserved())
 		if t.stage.Reserved().Fits(free) {
-			return out, loss
+			return out, lostWork
 		}
 	}
 	return nil, 0
@@ -227,8 +227,8 @@
 // preemptible reports whether the run may be stopped for a more urgent one.
 func (r *run) preemptible() bool { return r.task != nil && !r.step.Lasting && !r.step.Gang }
 
-// loss returns the work that stopping the run throws away, in millicore-milliseconds.
-func (r *run) loss(now cottonlanding.Millis) float64 {
+// lostWork returns the work that stopping the run throws away, in millicore-milliseconds.
+func (r *run) lostWork(now cottonlanding.Millis) float64 {
 	if r.step.Checkpoints {
 		return 0
 	}
--- a/internal/workflow/planner/pressure.go
+++ b/internal/workflow/planner/pressure.go
@@ -57,7 +57,7 @@
 type pressure struct {
 	policy cottonlanding.DisturbancePolicy
 	// weights holds the estimate for each serving image.
-	weights map[cottonlanding.Image]*estimate
+	weights map[cottonlanding.Image]*weightEstimate
 	// others is what other cells have learnt.
 	others findings
 	// base is the shortest tail seen of an image.
@@ -71,7 +71,7 @@
 func newPressure(policy cottonlanding.DisturbancePolicy) *pressure {
 	return &pressure{
 		policy:  policy,
-		weights: make(map[cottonlanding.Image]*estimate),
+		weights: make(map[cottonlanding.Image]*weightEstimate),
 		base:    make(map[cottonlanding.Image]cottonlanding.Millis),
 	}
 }
@@ -92,7 +92,7 @@
 
 // predict returns how much busier filling tasks make a serving image, and the variance of
 // that.
-func (p *pressure) predict(known *estimate, serving cottonlanding.Image, used map[cottonlanding.Image]float64) (added, variance float64) {
+func (p *pressure) predict(known *weightEstimate, serving cottonlanding.Image, used map[cottonlanding.Image]float64) (added, variance float64) {
 	added, variance = known.predict(used)
 	if len(p.others[serving]) == 0 {
 		return added, variance
@@ -159,7 +159,7 @@
 	p.recordBase(s.step.Image, s.tail)
 	known := p.weights[s.step.Image]
 	if known == nil {
-		known = newEstimate()
+		known = newWeightEstimate()
 		p.weights[s.step.Image] = known
 	}
 	busy := p.busy(s, s.tail)
@@ -169,7 +169,7 @@
 		if load.settled(now) && len(used) > 0 {
 			known.learn(used, busy-load.ahead(now))
 		}
-		noise := figureNoise * figureNoise
+		noise := measurementNoise * measurementNoise
 		trust := noise / (noise + variance + modelError*modelError*added*added)
 		load.see(max(busy-added, 0), trust, now)
 	}
--- a/internal/workflow/planner/rank.go
+++ b/internal/workflow/planner/rank.go
@@ -6,8 +6,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// meanWeight is the weight of the newest workflow in the mean work of a queue's.
-const meanWeight = 0.02
+// newestWorkWeight is the weight of the newest workflow in the mean work of a queue's.
+const newestWorkWeight = 0.02
 
 // placedScore is the score of lasting workflows of which a task was placed, others have zero: in
 // a full cell the latter may still be handed over to another one.
@@ -16,7 +16,7 @@
 // rankAll works out anew where each open workflow goes among those of its priority.
 func (c *Cell) rankAll(now cottonlanding.Millis) {
 	for _, j := range c.openJobs {
-		j.interrupted = j.hasLasting && j.missesTask(now)
+		j.interrupted = j.hasLasting && j.hasInterruptedTask(now)
 		if j.hasLasting || j.Schedule.Rounds > 0 {
 			j.rank = cottonlanding.Rank{Class: asInt(j.late(now)), Score: j.lastingScore()}
 			continue
@@ -74,5 +74,5 @@
 	if !known {
 		mean = all
 	}
-	c.meanWork[j.Queue] = mean + meanWeight*(all-mean)
+	c.meanWork[j.Queue] = mean + newestWorkWeight*(all-mean)
 }
--- a/internal/workflow/planner/gate_test.go
+++ b/internal/workflow/planner/rejection_test.go
@@ -12,19 +12,19 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// gateKeys are the counts of a line that tells why a step waits.
-var gateKeys = []string{"Unusable", "Barred", "Full", "KeptForOther", "KeptApart", "Due", "WouldDisturb", "Fits"}
+// rejectionKeys are the counts of a line that tells why a step waits.
+var rejectionKeys = []string{"Unusable", "Barred", "Full", "KeptForOther", "KeptApart", "Due", "WouldDisturb", "Fits"}
 
-// listen has the world's next owners log into a buffer.
-func (w *world) listen() *bytes.Buffer {
+// captureLog has the world's next owners log into a buffer.
+func (w *world) captureLog() *bytes.Buffer {
 	log := &bytes.Buffer{}
 	w.log = slog.New(slog.NewJSONHandler(log, nil))
 	w.takeOver()
 	return log
 }
 
-// linesOf returns the lines of a JSON log that have one of the messages.
-func linesOf(t require.TestingT, log *bytes.Buffer, messages ...string) []map[string]any {
+// logLines returns the lines of a JSON log that have one of the messages.
+func logLines(t require.TestingT, log *bytes.Buffer, messages ...string) []map[string]any {
 	var out []map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(log.Bytes()))
 	for decoder.More() {
@@ -37,15 +37,15 @@
 	return out
 }
 
-// waitsOf returns the lines that tell why a task waits.
-func waitsOf(t require.TestingT, log *bytes.Buffer, task string) []map[string]any {
-	return slices.DeleteFunc(linesOf(t, log, "step waits"), func(line map[string]any) bool { return line["Task"] != task })
+// waitLines returns the lines that tell why a task waits.
+func waitLines(t require.TestingT, log *bytes.Buffer, task string) []map[string]any {
+	return slices.DeleteFunc(logLines(t, log, "step waits"), func(line map[string]any) bool { return line["Task"] != task })
 }
 
-// gatesOf returns the counts of a line that aren't zero.
-func gatesOf(line map[string]any) map[string]int {
+// rejectionsIn returns the counts of a line that aren't zero.
+func rejectionsIn(line map[string]any) map[string]int {
 	out := make(map[string]int)
-	for _, key := range gateKeys {
+	for _, key := range rejectionKeys {
 		if count, _ := line[key].(float64); count > 0 {
 			out[key] = int(count)
 		}
@@ -53,16 +53,16 @@
 	return out
 }
 
-// refusing is a placement that takes no worker.
-type refusing struct{}
+// refusingPlacement is a placement that takes no worker.
+type refusingPlacement struct{}
 
-func (refusing) Place(cottonlanding.TaskView, []cottonlanding.WorkerView) int {
+func (refusingPlacement) Place(cottonlanding.TaskView, []cottonlanding.WorkerView) int {
 	return cottonlanding.NoWorker
 }
 
-// TestWaitingStepTellsEachGate guards against a log that can't tell why a lasting task waits: workers kept for
+// TestWaitLogCountsRejections guards against a log that can't tell why a lasting task waits: workers kept for
 // another task, and such that the policy passes over, were counted as those that a task would disturb.
-func TestWaitingStepTellsEachGate(t *testing.T) {
+func TestWaitLogCountsRejections(t *testing.T) {
 	filling := cottonlanding.Step{Tasks: 2, Fills: true, Estimate: 500, Resources: cottonlanding.Resources{CPU: 4000, Memory: cottonlanding.Gigabyte}}
 	barred := lasting(1, 0, 1000)
 	barred.Requires = "Missing"
@@ -79,27 +79,27 @@
 		"due to others":    {lasting(1, 0, 3000), loseOne, map[string]int{"Unusable": 1, "Full": 3, "Due": 1}},
 		"filling":          {filling, func(w *world) { fillAll(w, 7000) }, map[string]int{"WouldDisturb": 4}},
 		"policy": {lasting(1, 0, 1000), func(w *world) {
-			w.policy.LastingPlacement = refusing{}
+			w.policy.LastingPlacement = refusingPlacement{}
 			w.takeOver()
 			w.play(cottonlanding.Second)
 		}, map[string]int{"Fits": 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newSpreadWorld(t)
-			log := w.listen()
+			log := w.captureLog()
 			w.play(cottonlanding.Second)
 			example.play(w)
 			w.submit("later", "Urgent", example.step)
 			w.play(1400)
 			last := cottonlanding.TaskRef{Workflow: "later", Index: example.step.Tasks - 1}
-			lines := waitsOf(t, log, last.String())
+			lines := waitLines(t, log, last.String())
 			if example.step.Fills {
-				lines = waitsOf(t, log, first("later").String()) // none of them has a worker, and the first speaks for all
+				lines = waitLines(t, log, first("later").String()) // none of them has a worker, and the first speaks for all
 			}
 			require.NotEmpty(t, lines)
-			require.Equal(t, example.gates, gatesOf(lines[0]))
+			require.Equal(t, example.gates, rejectionsIn(lines[0]))
 			sum := 0
-			for _, count := range gatesOf(lines[0]) {
+			for _, count := range rejectionsIn(lines[0]) {
 				sum += count
 			}
 			require.EqualValues(t, lines[0]["Workers"], sum, "each worker counts once")
--- a/internal/workflow/planner/report.go
+++ b/internal/workflow/planner/report.go
@@ -56,8 +56,8 @@
 		capacity += w.info.Capacity.CPU
 		free += max(room.free.CPU, 0)
 		spare += max(room.spare, 0)
-		lasting += w.info.Capacity.CPU - w.passing().CPU
-		if w.kept(now) || room.free.CPU <= 0 {
+		lasting += w.info.Capacity.CPU - w.roomBesideLasting().CPU
+		if w.held(now) || room.free.CPU <= 0 {
 			continue
 		}
 		holes[w.info.Service] = append(holes[w.info.Service], room.free.CPU)
--- a/internal/workflow/planner/due.go
+++ b/internal/workflow/planner/reservation.go
@@ -13,45 +13,45 @@
 // some seconds before: a worker that falls silent keeps its runs until its lease has run out, and
 // what has crashed may be back long before that.
 
-// littlePart is the part of a cell's room, as a divisor, below which what lasting tasks leave is
+// nearlyFullDivisor is the part of a cell's room, as a divisor, below which what lasting tasks leave is
 // little. Source: the rule that asks for a start of whatever waits while less than half is in use.
-const littlePart = 2
+const nearlyFullDivisor = 2
 
-// dues is what is due to lasting tasks that have run.
-type dues struct {
+// reservations is what is due to lasting tasks that have run.
+type reservations struct {
 	tasks []*task
 	// rooms is what is left for them, by service.
-	rooms map[cottonlanding.ServiceName]lastingRoom
+	rooms map[cottonlanding.ServiceName]serviceRoom
 }
 
-// lastingRoom is the room of the usable workers of a service.
-type lastingRoom struct {
+// serviceRoom is the room of the usable workers of a service.
+type serviceRoom struct {
 	// left is what lasting tasks leave of capacity.
 	left     cottonlanding.Resources
 	capacity cottonlanding.Resources
 }
 
-// reckonDues works out anew what is due.
-func (c *Cell) reckonDues(now cottonlanding.Millis) {
-	c.reserved = dues{}
+// computeReservations works out anew what is due.
+func (c *Cell) computeReservations(now cottonlanding.Millis) {
+	c.reserved = reservations{}
 	for _, j := range c.openJobs {
 		if j.hasLasting {
-			j.eachTask(c.recordDue)
+			j.eachTask(c.recordReservation)
 		}
 	}
 	if len(c.reserved.tasks) == 0 {
 		return
 	}
-	c.reserved.rooms = make(map[cottonlanding.ServiceName]lastingRoom)
+	c.reserved.rooms = make(map[cottonlanding.ServiceName]serviceRoom)
 	for _, w := range c.sortedWorkers() {
 		if w.usable(now) {
 			room := c.reserved.rooms[w.info.Service]
-			c.reserved.rooms[w.info.Service] = lastingRoom{room.left.Plus(w.passing()), room.capacity.Plus(w.info.Capacity)}
+			c.reserved.rooms[w.info.Service] = serviceRoom{room.left.Plus(w.roomBesideLasting()), room.capacity.Plus(w.info.Capacity)}
 		}
 	}
 }
 
-func (c *Cell) recordDue(t *task) {
+func (c *Cell) recordReservation(t *task) {
 	if t.awaitsRun() {
 		c.reserved.tasks = append(c.reserved.tasks, t)
 	}
@@ -69,23 +69,23 @@
 	return t.run.stopping || t.run.worker.failed
 }
 
-// isNewcomer reports whether a lasting task never ran.
-func (t *task) isNewcomer() bool { return t.stage.Lasting && !t.stage.Fills && t.number == 0 }
+// neverRan reports whether a lasting task never ran.
+func (t *task) neverRan() bool { return t.stage.Lasting && !t.stage.Fills && t.number == 0 }
 
-// yieldsInStep reports whether room may be due to another task of a newcomer's step.
-func (c *Cell) yieldsInStep(t *task) bool {
-	return t.isNewcomer() && slices.ContainsFunc(c.reserved.tasks, func(other *task) bool {
+// yieldsWithinStep reports whether room may be due to another task of a newcomer's step.
+func (c *Cell) yieldsWithinStep(t *task) bool {
+	return t.neverRan() && slices.ContainsFunc(c.reserved.tasks, func(other *task) bool {
 		return other.stage == t.stage && other.awaitsRun()
 	})
 }
 
-// isDue reports whether the room that a task would take on a worker is due to others: little is
+// reservedForOthers reports whether the room that a task would take on a worker is due to others: little is
 // left for all of them, and one of them could use it, now or once short tasks end there.
-func (c *Cell) isDue(t *task, w *worker, now cottonlanding.Millis) bool {
-	if len(c.reserved.tasks) == 0 || !t.isNewcomer() || !c.reserved.tight(t) {
+func (c *Cell) reservedForOthers(t *task, w *worker, now cottonlanding.Millis) bool {
+	if len(c.reserved.tasks) == 0 || !t.neverRan() || !c.reserved.scarce(t) {
 		return false
 	}
-	left := w.passing()
+	left := w.roomBesideLasting()
 	return slices.ContainsFunc(c.reserved.tasks, func(other *task) bool {
 		return other.precedes(t) && other.stage.Reserved().Fits(left) && c.allowed(other, w, now)
 	})
@@ -98,10 +98,10 @@
 	return t.awaitsRun() && queue.Service == other.Service && queue.Priority <= other.Priority
 }
 
-// tight reports whether little is left for lasting tasks, and not several times what is due and
+// scarce reports whether little is left for lasting tasks, and not several times what is due and
 // what the task needs.
-func (d dues) tight(t *task) bool {
-	if !d.little(t) {
+func (d reservations) scarce(t *task) bool {
+	if !d.nearlyFull(t) {
 		return false
 	}
 	room := d.rooms[t.job.queue.Service]
@@ -111,17 +111,17 @@
 			need = need.Plus(other.stage.Reserved())
 		}
 	}
-	return !need.Times(roomFactor).Fits(room.left)
+	return !need.Times(headroomFactor).Fits(room.left)
 }
 
-// little reports whether lasting tasks hold so much that little is left for others.
-func (d dues) little(t *task) bool {
+// nearlyFull reports whether lasting tasks hold so much that nearlyFull is left for others.
+func (d reservations) nearlyFull(t *task) bool {
 	room := d.rooms[t.job.queue.Service]
-	return !room.capacity.Fits(room.left.Times(littlePart))
+	return !room.capacity.Fits(room.left.Times(nearlyFullDivisor))
 }
 
-// recordTaken takes in that a lasting task was given room.
-func (d dues) recordTaken(t *task) {
+// deduct takes in that a lasting task was given room.
+func (d reservations) deduct(t *task) {
 	room, known := d.rooms[t.job.queue.Service]
 	if known && t.stage.Lasting && !t.stage.Fills {
 		room.left = room.left.Minus(t.stage.Reserved())
--- a/internal/workflow/planner/due_test.go
+++ b/internal/workflow/planner/reservation_test.go
@@ -10,15 +10,15 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// runAgainWithin is how soon a lasting task runs again that was lost with its worker, if room
+// restartTimeout is how soon a lasting task runs again that was lost with its worker, if room
 // for it has come meanwhile: the rest of its lease, its drift, and some turns.
-const runAgainWithin = 8 * cottonlanding.Second
+const restartTimeout = 8 * cottonlanding.Second
 
-// dueWorld is a cell of four workers, each with a lasting task that takes three quarters of it.
-func dueWorld(t require.TestingT) *world { return dueWorldOf(t, "Urgent") }
+// crowdedWorld is a cell of four workers, each with a lasting task that takes three quarters of it.
+func crowdedWorld(t require.TestingT) *world { return crowdedWorldOf(t, "Urgent") }
 
-// dueWorldOf is dueWorld with tasks of a queue.
-func dueWorldOf(t require.TestingT, queue cottonlanding.QueueName) *world {
+// crowdedWorldOf is dueWorld with tasks of a queue.
+func crowdedWorldOf(t require.TestingT, queue cottonlanding.QueueName) *world {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
 	w.submit("lasting", queue, lasting(4, 1, 6000))
@@ -48,26 +48,26 @@
 	return w.runner.Runs(cottonlanding.TaskRef{Workflow: id, Index: index})
 }
 
-// TestNewcomersLeaveRoomThatIsDue plays a worker that crashes and is back under another id before
+// TestNewTasksLeaveReservedRoom plays a worker that crashes and is back under another id before
 // its lease has run out. Its room goes to the lasting task that is lost with it, not to one that
 // comes meanwhile and would hold it for good.
-func TestNewcomersLeaveRoomThatIsDue(t *testing.T) {
+func TestNewTasksLeaveReservedRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := dueWorld(t)
+		w := crowdedWorld(t)
 		w.crash(rapid.IntRange(0, 3).Draw(t, "Worker"))
 		w.join()
 		w.submit("later", "Urgent", lasting(2, 0, cottonlanding.Millicores(rapid.IntRange(2500, 6000).Draw(t, "CPU"))))
-		w.play(runAgainWithin)
+		w.play(restartTimeout)
 		require.True(t, w.runsAll("lasting", 4), "what was lost runs again")
 		require.Empty(t, w.runner.Violations())
 	})
 }
 
-// TestNewcomersLeaveRoomToLeavers is the same for tasks whose worker leaves: they have to be
+// TestNewTasksLeaveRoomForStoppedOnes is the same for tasks whose worker leaves: they have to be
 // stopped first, which takes some turns.
-func TestNewcomersLeaveRoomToLeavers(t *testing.T) {
+func TestNewTasksLeaveRoomForStoppedOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := dueWorld(t)
+		w := crowdedWorld(t)
 		w.join()
 		w.workers[rapid.IntRange(0, 3).Draw(t, "Worker")].State = cottonlanding.Leaving
 		w.submit("later", "Urgent", lasting(2, 0, 6000))
@@ -77,16 +77,16 @@
 	})
 }
 
-// TestNewcomersTakeWhatIsNotDue plays the same crash where less is due: room that is enough for
+// TestNewTasksTakeUnreservedRoom plays the same crash where less is due: room that is enough for
 // both, and a rest that is too small for what was lost, are taken at once.
-func TestNewcomersTakeWhatIsNotDue(t *testing.T) {
+func TestNewTasksTakeUnreservedRoom(t *testing.T) {
 	for name, step := range map[string]cottonlanding.Step{
 		"enough for both":      lasting(1, 0, 6000),
 		"too small a rest":     lasting(3, 1, 2000),
 		"tasks that end alone": short(6000),
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := dueWorld(t)
+			w := crowdedWorld(t)
 			if name == "enough for both" {
 				w.addWorker()
 				w.addWorker()
@@ -100,15 +100,15 @@
 				begun = begun || w.runsAll("later", step.Tasks)
 			}
 			require.True(t, begun)
-			w.play(runAgainWithin)
+			w.play(restartTimeout)
 			require.True(t, w.runsAll("lasting", 4), "what was lost runs again")
 		})
 	}
 }
 
-// TestLessUrgentTasksAreDueNothing: a newcomer doesn't stand back for what is less urgent.
-func TestLessUrgentTasksAreDueNothing(t *testing.T) {
-	w := dueWorldOf(t, "Bulk")
+// TestReservationsRespectPriority: a newcomer doesn't stand back for what is less urgent.
+func TestReservationsRespectPriority(t *testing.T) {
+	w := crowdedWorldOf(t, "Bulk")
 	w.crash(0)
 	w.join()
 	w.submit("later", "Urgent", lasting(1, 0, 6000))
@@ -116,10 +116,10 @@
 	require.True(t, w.runsAll("later", 1))
 }
 
-// TestNewcomersTakeWhatIsLeftOver: where there is several times the room that is due and asked
+// TestNewTasksTakeAmpleRoom: where there is several times the room that is due and asked
 // for, a newcomer takes some of it at once, also on a worker that what was lost could use.
-func TestNewcomersTakeWhatIsLeftOver(t *testing.T) {
-	w := dueWorld(t)
+func TestNewTasksTakeAmpleRoom(t *testing.T) {
+	w := crowdedWorld(t)
 	w.crash(0)
 	w.addWorker()
 	w.workers[4].Labels = []cottonlanding.Label{"New"}
@@ -131,10 +131,10 @@
 	require.True(t, w.runsAll("later", 1))
 }
 
-// TestNewcomersStartWhileHalfIsFree: while lasting tasks leave half of the room, nothing waits for
+// TestNewTasksStartWhileHalfIsFree: while lasting tasks leave half of the room, nothing waits for
 // what is due.
-func TestNewcomersStartWhileHalfIsFree(t *testing.T) {
-	w := dueWorld(t)
+func TestNewTasksStartWhileHalfIsFree(t *testing.T) {
+	w := crowdedWorld(t)
 	w.crash(0)
 	w.crash(1)
 	w.join()
@@ -144,9 +144,9 @@
 	require.True(t, w.runsAll("later", 1))
 }
 
-// TestRoomOfOtherServicesIsNoneForWhatIsDue: what workers of another service have left helps nobody.
-func TestRoomOfOtherServicesIsNoneForWhatIsDue(t *testing.T) {
-	w := dueWorld(t)
+// TestReservationsCountOwnServiceOnly: what workers of another service have left helps nobody.
+func TestReservationsCountOwnServiceOnly(t *testing.T) {
+	w := crowdedWorld(t)
 	for range 4 {
 		w.addWorker()
 		w.workers[len(w.workers)-1].Service = "Other"
@@ -156,26 +156,26 @@
 	w.crash(0)
 	w.join()
 	w.submit("later", "Urgent", lasting(1, 0, 6000))
-	w.play(runAgainWithin)
+	w.play(restartTimeout)
 	require.True(t, w.runsAll("lasting", 4), "what was lost runs again")
 }
 
-// TestManyNewcomersLeaveWhatIsDue: many that come at once leave room too, though each alone would.
-func TestManyNewcomersLeaveWhatIsDue(t *testing.T) {
-	w := dueWorld(t)
+// TestManyNewTasksLeaveReservedRoom: many that come at once leave room too, though each alone would.
+func TestManyNewTasksLeaveReservedRoom(t *testing.T) {
+	w := crowdedWorld(t)
 	w.crash(0)
 	for range 4 {
 		w.addWorker()
 	}
 	w.join()
 	w.submit("later", "Urgent", lasting(6, 0, 6000))
-	w.play(runAgainWithin)
+	w.play(restartTimeout)
 	require.True(t, w.runsAll("lasting", 4), "what was lost runs again")
 }
 
-// TestNoRoomIsMadeForNewcomersWhereItIsDue: nothing is stopped for a task that isn't given the room.
-func TestNoRoomIsMadeForNewcomersWhereItIsDue(t *testing.T) {
-	w := dueWorld(t)
+// TestReservedRoomPreventsPreemption: nothing is stopped for a task that isn't given the room.
+func TestReservedRoomPreventsPreemption(t *testing.T) {
+	w := crowdedWorld(t)
 	w.crash(0)
 	w.join()
 	w.submit("slow", "Bulk", short(7000))
@@ -186,10 +186,10 @@
 	require.Zero(t, w.cell.Counts().Evicted, "it isn't stopped")
 }
 
-// TestTaskThatNeverRanLeavesRoomToThoseOfItsStep plays a step of five tasks, one to a worker, of
+// TestNewTaskYieldsWithinItsStep plays a step of five tasks, one to a worker, of
 // which the fifth never ran. Some seconds after another has lost its worker one more worker comes:
 // it is for the task that has run, however long the fifth has waited.
-func TestTaskThatNeverRanLeavesRoomToThoseOfItsStep(t *testing.T) {
+func TestNewTaskYieldsWithinItsStep(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
 	w.submit("lasting", "Urgent", lasting(5, 1, 6000))
@@ -204,18 +204,18 @@
 	}
 }
 
-// TestNothingIsDueForGood: once what was lost runs again, and once its workflow is cancelled, the
+// TestReservationsEnd: once what was lost runs again, and once its workflow is cancelled, the
 // rest is others'.
-func TestNothingIsDueForGood(t *testing.T) {
+func TestReservationsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := dueWorld(t)
+		w := crowdedWorld(t)
 		w.crash(0)
 		w.join()
 		w.submit("later", "Urgent", lasting(1, 0, 6000))
 		if rapid.Bool().Draw(t, "Cancelled") {
 			w.cell.Cancel("lasting", w.now, func(error) {})
 		} else {
-			w.play(runAgainWithin)
+			w.play(restartTimeout)
 			w.join()
 		}
 		w.play(cottonlanding.Second)
--- a/internal/workflow/planner/room.go
+++ b/internal/workflow/planner/room.go
@@ -21,18 +21,18 @@
 	free cottonlanding.Resources
 	// spare is the processors that all runs are expected to leave unused.
 	spare cottonlanding.Millicores
-	// trial says that a trial runs there, calm that the serving tasks can bear one.
-	trial, calm bool
+	// hasTrial says that a hasTrial runs there, calm that the serving tasks can bear one.
+	hasTrial, calm bool
 	// slacks tells for each serving image how much busier its tasks may become.
 	slacks []imageSlack
 	// stopping is what runs hold that are being stopped, yields what others hold that
 	// could give way, by the priority of their queue.
-	stopping cottonlanding.Resources
-	yields   []yield
+	stopping         cottonlanding.Resources
+	preemptibleRooms []preemptibleRoom
 }
 
-// yield is the room of the runs of one priority that could give way.
-type yield struct {
+// preemptibleRoom is the room of the runs of one priority that could give way.
+type preemptibleRoom struct {
 	priority int
 	held     cottonlanding.Resources
 }
@@ -46,30 +46,30 @@
 	return slices.ContainsFunc(r.slacks, func(s imageSlack) bool { return s.image == image })
 }
 
-// roomAge is how old a measured room may be: the loads of serving tasks move by
+// maxRoomAge is how old a measured room may be: the loads of serving tasks move by
 // less than a hundredth meanwhile. What changes the runs makes it be measured at once.
-const roomAge = 100 * cottonlanding.Millis(1)
+const maxRoomAge = 100 * cottonlanding.Millis(1)
 
 // room returns what is left of a worker.
 func (c *Cell) room(w *worker, now cottonlanding.Millis) *room {
-	if w.measuredAt > 0 && now-w.measuredAt < roomAge {
+	if w.measuredAt > 0 && now-w.measuredAt < maxRoomAge {
 		return &w.room
 	}
 	w.measuredAt = now
 	w.room = room{free: w.free(), spare: w.spare()}
 	for _, r := range w.runs.all() {
-		w.room.recordYield(r)
+		w.room.recordPreemptible(r)
 	}
 	serving, filling := w.servingAndFilling()
-	w.room.trial, w.room.calm = c.trialRuns(serving, filling), c.calm(serving)
+	w.room.hasTrial, w.room.calm = c.trialRuns(serving, filling), c.calm(serving)
 	for _, s := range serving {
-		w.room.note(s.step.Image, c.pressure.slack(s, filling, w.info.Capacity.CPU, now))
+		w.room.recordSlack(s.step.Image, c.pressure.slack(s, filling, w.info.Capacity.CPU, now))
 	}
 	return &w.room
 }
 
-// recordYield adds what a run would leave.
-func (r *room) recordYield(of *run) {
+// recordPreemptible adds what a run would leave.
+func (r *room) recordPreemptible(of *run) {
 	switch {
 	case of.stopping:
 		r.stopping = r.stopping.Plus(of.step.Reserved())
@@ -78,19 +78,19 @@
 		return
 	}
 	priority := of.task.job.queue.Priority
-	for i := range r.yields {
-		if r.yields[i].priority == priority {
-			r.yields[i].held = r.yields[i].held.Plus(of.step.Reserved())
+	for i := range r.preemptibleRooms {
+		if r.preemptibleRooms[i].priority == priority {
+			r.preemptibleRooms[i].held = r.preemptibleRooms[i].held.Plus(of.step.Reserved())
 			return
 		}
 	}
-	r.yields = append(r.yields, yield{priority, of.step.Reserved()})
+	r.preemptibleRooms = append(r.preemptibleRooms, preemptibleRoom{priority, of.step.Reserved()})
 }
 
-// most returns the room for a task of a priority if all that could give way did.
-func (r *room) most(priority int) cottonlanding.Resources {
+// withPreemption returns the room for a task of a priority if all that could give way did.
+func (r *room) withPreemption(priority int) cottonlanding.Resources {
 	sum := r.free.Plus(r.stopping)
-	for _, y := range r.yields {
+	for _, y := range r.preemptibleRooms {
 		if y.priority > priority {
 			sum = sum.Plus(y.held)
 		}
@@ -98,8 +98,8 @@
 	return sum
 }
 
-// note keeps the least slack of each image.
-func (r *room) note(image cottonlanding.Image, slack float64) {
+// recordSlack keeps the least slack of each image.
+func (r *room) recordSlack(image cottonlanding.Image, slack float64) {
 	for i := range r.slacks {
 		if r.slacks[i].image == image {
 			r.slacks[i].slack = min(r.slacks[i].slack, slack)
--- a/internal/workflow/planner/rounds_test.go
+++ b/internal/workflow/planner/rounds_test.go
@@ -23,7 +23,7 @@
 			cell.Submit(workflow, 1000, func(error) {}) // it may be refused
 			for now := cottonlanding.Millis(1000); now < 3000; now += 1000 {
 				cell.Decide(now, 1_750_000_000_000)
-				commitFitting(t, cell, now)
+				commitWithinLimit(t, cell, now)
 			}
 		})
 	}
--- a/internal/workflow/planner/fit_test.go
+++ b/internal/workflow/planner/rowlimit_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// maxTransaction is what the table takes at once, in bytes, with values in base64.
-	maxTransaction = 1_000_000
-	// maxRow is the longest value that the table takes, in bytes.
-	maxRow = 65_536
-	// entryOverhead is more than what an entry takes beside its value.
-	entryOverhead = 300
+	// maxTransactionBytes is what the table takes at once, in bytes, with values in base64.
+	maxTransactionBytes = 1_000_000
+	// maxValueBytes is the longest value that the table takes, in bytes.
+	maxValueBytes = 65_536
+	// entryOverheadBytes is more than what an entry takes beside its value.
+	entryOverheadBytes = 300
 )
 
 // cellOf returns a cell that knows one queue, and no workers.
@@ -29,23 +29,23 @@
 	return cell
 }
 
-// commitFitting commits what a cell has to commit, each row of which the table must take.
-func commitFitting(t *testing.T, cell *planner.Cell, now cottonlanding.Millis) {
+// commitWithinLimit commits what a cell has to commit, each row of which the table must take.
+func commitWithinLimit(t *testing.T, cell *planner.Cell, now cottonlanding.Millis) {
 	plan := cell.Plan(now)
 	if plan == nil {
 		return
 	}
 	for _, write := range plan.Writes {
-		require.LessOrEqual(t, len(write.Value), maxRow, "the table refuses %s", write.Key)
+		require.LessOrEqual(t, len(write.Value), maxValueBytes, "the table refuses %s", write.Key)
 	}
 	cell.Committed(plan, 1)
 }
 
-// TestManyLargeRowsAreCommittedInTurn: where many large workflows change at once, here by their
+// TestLargeRowsSpanTransactions: where many large workflows change at once, here by their
 // clients' cancelling them, their rows together are more than the table takes in one
 // transaction. An owner whose commit is refused loses its cell, and the next one has the same
 // rows to write, as soon as the clients ask again.
-func TestManyLargeRowsAreCommittedInTurn(t *testing.T) {
+func TestLargeRowsSpanTransactions(t *testing.T) {
 	const workflows, tasks = 40, 1000
 	cell := planner.New(planner.Setup{Partition: partition, Epoch: 2}, timing, selector.Default().Planner, discardLog())
 	var specs, states []cottonlanding.Row
@@ -68,9 +68,9 @@
 	for plan := cell.Plan(1000); plan != nil; plan = cell.Plan(1000) {
 		size := 0
 		for _, write := range plan.Writes {
-			size += base64.StdEncoding.EncodedLen(len(write.Value)) + entryOverhead
+			size += base64.StdEncoding.EncodedLen(len(write.Value)) + entryOverheadBytes
 		}
-		require.LessOrEqual(t, size, maxTransaction)
+		require.LessOrEqual(t, size, maxTransactionBytes)
 		cell.Committed(plan, 2)
 	}
 	require.Equal(t, workflows, cancelled)
--- a/internal/workflow/planner/fitgang_test.go
+++ b/internal/workflow/planner/rowlimitgang_test.go
@@ -12,7 +12,7 @@
 // A state row that is too long for the table leaves out the longest texts. Where that of a gang
 // was among them, the next owner repeated the start of a member without the text that the
 // member which had begun was started with, while all must bring the same.
-func TestOverfullRowKeepsTheTextOfAGangsRun(t *testing.T) {
+func TestOverfullRowKeepsGangCheckpoint(t *testing.T) {
 	const others = 70
 	w := savedWorld(t)
 	long := strings.Repeat("x", cottonlanding.MaxCheckpoint)
@@ -32,18 +32,18 @@
 
 // The same where only the newest text was left out, and the row still tells with which one the
 // run was started: the rows of the other members wiped that out when they were read.
-func TestRowOfAGangWithoutTheNewestText(t *testing.T) {
+func TestGangRowWithStartCheckpointOnly(t *testing.T) {
 	w := savedWorld(t)
 	w.checkpoints.note(first("gang"), "one")
 	w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["A",1,"w1",0,"",0,0,"one"],["A",1,"w2"]]}`, savingGang(2))
 	w.play(2 * cottonlanding.Second)
-	require.EqualValues(t, "one", w.checkpoints.brought[cottonlanding.RunKey{Task: first("gang"), Number: 1}])
+	require.EqualValues(t, "one", w.checkpoints.startedWith[cottonlanding.RunKey{Task: first("gang"), Number: 1}])
 	require.Empty(t, w.checkpoints.faults)
 }
 
 // Owners of older code have kept texts that are too long, or in which U+FFFD stands for what the
 // worker wrote. The next owner brought them, as any text of a row.
-func TestTextOfARowThatCannotBeKept(t *testing.T) {
+func TestInvalidStoredCheckpointIsDropped(t *testing.T) {
 	for name, text := range map[string]string{
 		"altered":  "a\ufffd",
 		"too long": strings.Repeat("x", cottonlanding.MaxCheckpoint+1),
--- a/internal/workflow/planner/fitresume_test.go
+++ b/internal/workflow/planner/rowlimitresume_test.go
@@ -13,7 +13,7 @@
 // A row also tells with which texts present runs are started, once newer ones are listed. These
 // weren't left out of a row that was too long, however many there were: the table refused it, and
 // the owner lost its cell, as each one after it.
-func TestRowsWithTextsOfPresentRunsFit(t *testing.T) {
+func TestRowsWithStartCheckpointsFit(t *testing.T) {
 	long := strings.Repeat("\x01", cottonlanding.MaxCheckpoint) // each byte takes six in the row
 	escaped := strings.Repeat(`\u0001`, cottonlanding.MaxCheckpoint)
 	for name, step := range map[string]cottonlanding.Step{"tasks": saving(1), "gangs": savingGang(2)} {
@@ -34,7 +34,7 @@
 			for range 20 {
 				w.turn(turnSpan)
 				w.touchAll()
-				require.LessOrEqual(t, len(w.rows[planner.StateKey(partition, "slow")].Value), maxRow)
+				require.LessOrEqual(t, len(w.rows[planner.StateKey(partition, "slow")].Value), maxValueBytes)
 			}
 			require.NotZero(t, w.runner.Starts())
 			require.Empty(t, w.checkpoints.faults)
--- a/internal/workflow/planner/rowplay_test.go
+++ b/internal/workflow/planner/rowplay_test.go
@@ -88,7 +88,7 @@
 	}
 	p.version++
 	for _, write := range plan.Writes {
-		require.LessOrEqual(p.t, len(write.Value), maxRow, "the table refuses %s", write.Key)
+		require.LessOrEqual(p.t, len(write.Value), maxValueBytes, "the table refuses %s", write.Key)
 		p.rows[write.Key] = cottonlanding.Row{Key: write.Key, Version: p.version, Value: write.Value}
 	}
 	p.cell.Committed(plan, p.version)
--- a/internal/workflow/planner/rowsize.go
+++ b/internal/workflow/planner/rowsize.go
@@ -32,7 +32,7 @@
 	// mostForRounds is up to where rounds are begun, in bytes. It leaves room for the longest
 	// life of a worker, so that something can always run. A round of as many tasks as a
 	// workflow may have takes less.
-	mostForRounds = maxRow - 2000
+	mostForRounds = maxRowBytes - 2000
 )
 
 // rowSize bounds the length of a state row.
@@ -100,12 +100,12 @@
 // hasRoomForLives reports whether the row takes lives of so many bytes more. If need be, the first
 // rounds that are finished are left out of it.
 func (j *job) hasRoomForLives(bytes int) bool {
-	if j.size.bytes()+bytes <= maxRow {
+	if j.size.bytes()+bytes <= maxRowBytes {
 		return true
 	}
 	j.leaveOutFinished()
 	j.forgetOpen()
-	return j.size.bytes()+bytes <= maxRow
+	return j.size.bytes()+bytes <= maxRowBytes
 }
 
 // widestLife is what the life of a worker takes in a row, with the birth that takes most, whose id
@@ -123,7 +123,7 @@
 		return nil
 	}
 	return fmt.Errorf("%w: its lasting tasks and its largest gang must be placed at once, which may take over %d bytes to keep where a worker takes %d",
-		cottonlanding.ErrCannotRun, maxRow, longest)
+		cottonlanding.ErrCannotRun, maxRowBytes, longest)
 }
 
 // longestLife returns the most that the life of a service's worker takes in a row, in bytes.
@@ -153,12 +153,12 @@
 	tasks := tasksPerRound(workflow)
 	size := rowSize{undone: tasks, lives: (lasting + gang) * life}
 	if lasting > 0 {
-		earlier := min(max(0, workflow.Schedule.Rounds-1), maxRow) // more have no room in any case
+		earlier := min(max(0, workflow.Schedule.Rounds-1), maxRowBytes) // more have no room in any case
 		size.undone += earlier * lasting
 		size.done += earlier * (tasks - lasting)
 		size.lives += earlier * lasting * life
 	}
-	return size.usualBytes() <= mostForRounds && size.bytes() <= maxRow
+	return size.usualBytes() <= mostForRounds && size.bytes() <= maxRowBytes
 }
 
 // tasksPerRound counts the tasks of one round.
@@ -201,7 +201,7 @@
 func (j *job) firstInRow() int {
 	all := j.size
 	all.done += j.leftOut * tasksPerRound(j.Workflow)
-	if all.bytes() <= maxRow {
+	if all.bytes() <= maxRowBytes {
 		return 0
 	}
 	return j.leftOut
--- a/internal/workflow/planner/run.go
+++ b/internal/workflow/planner/run.go
@@ -189,15 +189,15 @@
 	case r.phase > sent || r.task == nil:
 	case r.phase == sent && w.leaving():
 		// The start may still wait behind others: it isn't sent then.
-		c.takeBack(r, "its worker is leaving and has not told of the start", now)
+		c.revokeStart(r, "its worker is leaving and has not told of the start", now)
 	case r.phase == sent && w.evacuated:
-		c.holdBack(r, now)
+		c.withholdStart(r, now)
 	case r.phase < sent && r.stopping:
 		c.dropRun(r, now)
 	case r.phase < sent && w.cordoned():
-		c.takeBack(r, "its worker may be given nothing", now)
+		c.revokeStart(r, "its worker may be given nothing", now)
 	case r.phase < sent && !w.reachable(now):
-		c.takeBack(r, "its worker gives no answer", now)
+		c.revokeStart(r, "its worker gives no answer", now)
 	}
 }
 
--- a/internal/workflow/planner/shared.go
+++ b/internal/workflow/planner/shared.go
@@ -19,7 +19,7 @@
 }
 
 // firstPrecision is that of the weight which is assumed of all pairs.
-const firstPrecision = 1 / (firstDoubt * firstDoubt)
+const firstPrecision = 1 / (initialStandardError * initialStandardError)
 
 // findingOf returns what is known of a pair beyond the assumption.
 func findingOf(pair cottonlanding.PairView) finding {
--- a/internal/workflow/planner/shrink_test.go
+++ b/internal/workflow/planner/shrink_test.go
@@ -19,8 +19,8 @@
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 }
 
-// starts sends the due orders and returns the room of all starts for each worker.
-func (w *world) starts() map[cottonlanding.WorkerID]cottonlanding.Millicores {
+// sendStarts sends the due orders and returns the room of all sendStarts for each worker.
+func (w *world) sendStarts() map[cottonlanding.WorkerID]cottonlanding.Millicores {
 	out := make(map[cottonlanding.WorkerID]cottonlanding.Millicores)
 	for _, order := range w.cell.Orders(w.now) {
 		if order.Obsolete() {
@@ -37,10 +37,10 @@
 	return out
 }
 
-// TestRoomThatShrinks halves the room of workers and gives it back in series, while tasks
+// TestShrinkingCapacity halves the room of workers and gives it back in series, while tasks
 // are placed, committed or about to be sent, and over a change of the owner. No start goes
 // out over the room that its worker tells of by then, and all tasks are done in the end.
-func TestRoomThatShrinks(t *testing.T) {
+func TestShrinkingCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
 		for range 4 {
@@ -57,7 +57,7 @@
 		w.resize(room)
 		w.commit()
 		w.makePlan()
-		for id, cpu := range w.starts() {
+		for id, cpu := range w.sendStarts() {
 			require.LessOrEqual(t, cpu, room, "worker %s", id)
 		}
 		if rapid.Bool().Draw(t, "TakeOver") {
--- a/internal/workflow/planner/spec_test.go
+++ b/internal/workflow/planner/spec_test.go
@@ -19,11 +19,11 @@
 		step := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 100}, Requires: cottonlanding.Label(label)}
 		outcome := cottonlanding.ErrAmbiguous
 		cell.Submit(cottonlanding.Workflow{ID: id, Queue: "Urgent", Steps: []cottonlanding.Step{step}}, 1000, func(err error) { outcome = err })
-		commitFitting(t, cell, 1000)
+		commitWithinLimit(t, cell, 1000)
 		return outcome
 	}
-	require.ErrorIs(t, submit("long", strings.Repeat("x", maxRow)), cottonlanding.ErrCannotRun)
-	require.ErrorIs(t, submit("escaped", strings.Repeat("<", maxRow/5)), cottonlanding.ErrCannotRun)
+	require.ErrorIs(t, submit("long", strings.Repeat("x", maxValueBytes)), cottonlanding.ErrCannotRun)
+	require.ErrorIs(t, submit("escaped", strings.Repeat("<", maxValueBytes/5)), cottonlanding.ErrCannotRun)
 	require.NoError(t, submit("usual", "r1-3"))
 	require.False(t, cell.Knows("long"))
 }
--- a/internal/workflow/planner/stale_test.go
+++ b/internal/workflow/planner/stale_test.go
@@ -10,9 +10,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// startsUnderWay returns the starts of a workflow that the cell has given out and that
+// pendingStarts returns the starts of a workflow that the cell has given out and that
 // are still to be sent, as behind others to the same worker.
-func startsUnderWay(w *world) []planner.Order {
+func pendingStarts(w *world) []planner.Order {
 	w.turn(100)
 	w.turn(100)
 	w.submit("w", "Bulk", cottonlanding.Step{Tasks: 3, Resources: cottonlanding.Resources{CPU: 1000}})
@@ -27,12 +27,12 @@
 	return orders
 }
 
-// TestStartToAWorkerThatLeavesIsUnwanted: a start that waits behind others isn't sent
+// TestStartToLeavingWorkerIsUnwanted: a start that waits behind others isn't sent
 // once its worker is known to leave.
-func TestStartToAWorkerThatLeavesIsUnwanted(t *testing.T) {
+func TestStartToLeavingWorkerIsUnwanted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		orders := startsUnderWay(w)
+		orders := pendingStarts(w)
 		for i := range w.workers {
 			w.workers[i].State = cottonlanding.Leaving
 		}
--- a/internal/workflow/planner/trial.go
+++ b/internal/workflow/planner/trial.go
@@ -69,7 +69,7 @@
 	room := c.room(w, now)
 	for _, s := range room.slacks {
 		if c.pressure.untried(step.Image, s.image) {
-			return room.calm && !room.trial
+			return room.calm && !room.hasTrial
 		}
 	}
 	return true
--- a/internal/workflow/planner/worker.go
+++ b/internal/workflow/planner/worker.go
@@ -213,7 +213,7 @@
 	w := &worker{info: info, runs: newRunSet(), knownSince: now}
 	w.bound = max(now, c.ownersBound())
 	c.inheritBound(w, now)
-	c.recordCordon(w)
+	c.updateEvacuated(w)
 	_, w.placeSilent = c.silentSince[info.DataCentre]
 	c.workers[info.ID] = w
 	c.sorted = nil
@@ -247,7 +247,7 @@
 			c.log.Info("worker changed", "Worker", info.ID, "From", w.info.State, "To", info.State)
 		}
 		w.describe(info)
-		c.recordCordon(w)
+		c.updateEvacuated(w)
 	}
 	c.listRead = c.listRead || len(infos) > 0
 	for _, w := range c.sortedWorkers() {
--- a/internal/workflow/planner/world_test.go
+++ b/internal/workflow/planner/world_test.go
@@ -75,7 +75,7 @@
 	// onStart is called for each start that goes out, unless it is nil.
 	onStart func(planner.Order)
 	// checkpoints has workers list checkpoints and watches what starts bring, unless it is nil.
-	checkpoints *textBook
+	checkpoints *checkpointRecorder
 	// ownedFor is for how long owners surely own the cell after each turn; zero doesn't tell them.
 	ownedFor cottonlanding.Millis
 	// boundsKeptSince is from which epoch on owners keep to lease bounds, by default the first.
@@ -286,7 +286,7 @@
 		w.cell.LookFailed(next, err, w.now)
 		return
 	}
-	w.checkpoints.fill(&report)
+	w.checkpoints.fillReport(&report)
 	w.cell.Looked(next, report, w.now, w.now)
 }
 
