--- a/internal/workflow/planner/againcells_test.go
+++ b/internal/workflow/planner/againcells_test.go
@@ -47,17 +47,17 @@
 	return d
 }
 
-func (d *delegations) failCalls(_ *againHistory, p *playedCell, left cottonlanding.Millis) {
+func (d *delegations) failCalls(_ *againHistory, p *simulatedCell, left cottonlanding.Millis) {
 	span := d.span(turnSpan, left)
 	d.tell("calls between cells fail for %d", span)
-	d.faultyUntil, p.lastTrouble = d.now()+span, d.now()
+	d.faultyUntil, p.lastFaultAt = d.now()+span, d.now()
 }
 
 // pass has owners delegate, and ask about what they have delegated.
 func (d *delegations) pass() {
 	d.deliverLate()
 	for cell, p := range d.cells {
-		if !p.able() {
+		if !p.canStart() {
 			continue
 		}
 		d.forgetStamps(cell, p.epoch)
@@ -140,10 +140,10 @@
 	fault := ""
 	if d.now() < d.faultyUntil {
 		fault = []string{"", "lost", "late", "unanswered"}[d.random.Intn(4)]
-		keeper.lastTrouble = keeper.now
+		keeper.lastFaultAt = keeper.now
 	}
 	switch {
-	case !guest.owned() || guest.now < guest.stuckUntil || fault == "lost":
+	case !guest.owned() || guest.now < guest.pausedUntil || fault == "lost":
 		return false
 	case fault == "late":
 		d.late = append(d.late, sentQuestion{at[1], question})
--- a/internal/workflow/planner/againhistory_test.go
+++ b/internal/workflow/planner/againhistory_test.go
@@ -41,7 +41,7 @@
 	t      require.TestingT
 	seed   int64
 	random *rand.Rand
-	cells  []*playedCell
+	cells  []*simulatedCell
 	rule   *downtimeRule
 	// tasks are the lasting tasks that have to run, steps the step of each workflow.
 	tasks []lastingTask
@@ -60,7 +60,7 @@
 	workers   int
 	submitted int
 	// kinds holds the troubles that this history has: few at a time show what many hide.
-	kinds []func(*againHistory, *playedCell, cottonlanding.Millis)
+	kinds []func(*againHistory, *simulatedCell, cottonlanding.Millis)
 	// between plays what passes between cells.
 	between func()
 	// faults tells what was found.
@@ -107,7 +107,7 @@
 	if *againLogs {
 		w.log = h.logger()
 	}
-	p := newPlayedCell(w, h.random)
+	p := newSimulatedCell(w, h.random)
 	w.faultyTasks, w.crashAfter = make(map[cottonlanding.TaskRef]bool), crashDelay
 	if number > 0 {
 		w.faultyTasks = h.cells[0].faultyTasks
@@ -130,7 +130,7 @@
 }
 
 // join adds a worker.
-func (h *againHistory) join(p *playedCell) {
+func (h *againHistory) join(p *simulatedCell) {
 	p.addLife(cottonlanding.WorkerInfo{
 		Address: cottonlanding.Address(fmt.Sprintf("a%d", p.lives)), Service: "S", State: cottonlanding.Live,
 		DataCentre: dataCentres[p.lives%len(dataCentres)],
@@ -225,8 +225,8 @@
 func (h *againHistory) disturb() {
 	trouble, unable := len(h.dark) > 0, false
 	for _, p := range h.cells {
-		trouble = trouble || p.lastTrouble == p.now || !p.able()
-		unable = unable || !p.able()
+		trouble = trouble || p.lastFaultAt == p.now || !p.canStart()
+		unable = unable || !p.canStart()
 	}
 	if trouble {
 		h.near.last = h.now()
@@ -239,7 +239,7 @@
 func (h *againHistory) standing() standing {
 	out := standing{now: h.now(), runs: h.cells[0].runner.RunsByWorker(), steps: h.steps, late: make(map[cottonlanding.TaskRef]bool), near: h.near}
 	for _, p := range h.cells {
-		p.lateTasks(out.late)
+		p.addDelayedTasks(out.late)
 		for _, info := range p.workers {
 			if h.usable(p, info) {
 				out.usable = append(out.usable, info)
@@ -250,10 +250,10 @@
 }
 
 // usable reports whether a worker is sound and may be given tasks.
-func (h *againHistory) usable(p *playedCell, info cottonlanding.WorkerInfo) bool {
+func (h *againHistory) usable(p *simulatedCell, info cottonlanding.WorkerInfo) bool {
 	_, evacuated := p.evacuated[info.DataCentre]
-	faulty := h.now() < max(p.faultyUntil[info.ID], p.deafUntil[info.ID])
-	return info.State == cottonlanding.Live && !h.dark[info.ID] && !h.gone[info.ID] && !evacuated && !faulty && !p.holdsBack(info.ID)
+	faulty := h.now() < max(p.faultyUntil[info.ID], p.answersLostUntil[info.ID])
+	return info.State == cottonlanding.Live && !h.dark[info.ID] && !h.gone[info.ID] && !evacuated && !faulty && !p.hasDelayedOrders(info.ID)
 }
 
 // submitOthers hands in tasks that end, beside the lasting ones.
@@ -278,7 +278,7 @@
 	}
 }
 
-func (h *againHistory) openOthers(p *playedCell) int {
+func (h *againHistory) openOthers(p *simulatedCell) int {
 	return p.cell.Waiting("Urgent") + p.cell.Waiting("Bulk")
 }
 
--- a/internal/workflow/planner/againtrouble_test.go
+++ b/internal/workflow/planner/againtrouble_test.go
@@ -22,33 +22,35 @@
 )
 
 // troubleKinds holds what a history may have, each with what is left of the phase of trouble.
-var troubleKinds = []func(*againHistory, *playedCell, cottonlanding.Millis){
-	func(h *againHistory, p *playedCell, _ cottonlanding.Millis) { h.crashSome(p, 1) },
-	func(h *againHistory, p *playedCell, _ cottonlanding.Millis) { h.crashSome(p, 1+h.random.Intn(3)) },
-	func(h *againHistory, p *playedCell, left cottonlanding.Millis) {
+var troubleKinds = []func(*againHistory, *simulatedCell, cottonlanding.Millis){
+	func(h *againHistory, p *simulatedCell, _ cottonlanding.Millis) { h.crashSome(p, 1) },
+	func(h *againHistory, p *simulatedCell, _ cottonlanding.Millis) { h.crashSome(p, 1+h.random.Intn(3)) },
+	func(h *againHistory, p *simulatedCell, left cottonlanding.Millis) {
 		h.silence(p, 1+h.random.Intn(3), h.span(turnSpan, left))
 	},
-	func(h *againHistory, p *playedCell, left cottonlanding.Millis) {
+	func(h *againHistory, p *simulatedCell, left cottonlanding.Millis) {
 		h.silencePlace(p, h.span(turnSpan, left))
 	},
-	func(h *againHistory, p *playedCell, _ cottonlanding.Millis) { h.drainSome(p, 1+h.random.Intn(3)) },
-	func(h *againHistory, p *playedCell, _ cottonlanding.Millis) { h.changeOwners(p, 1+h.random.Intn(3)) },
-	func(h *againHistory, p *playedCell, _ cottonlanding.Millis) {
+	func(h *againHistory, p *simulatedCell, _ cottonlanding.Millis) { h.drainSome(p, 1+h.random.Intn(3)) },
+	func(h *againHistory, p *simulatedCell, _ cottonlanding.Millis) { h.changeOwners(p, 1+h.random.Intn(3)) },
+	func(h *againHistory, p *simulatedCell, _ cottonlanding.Millis) {
 		h.crashSome(p, 1+h.random.Intn(2))
 		h.changeOwners(p, 1+h.random.Intn(2))
 	},
-	func(h *againHistory, p *playedCell, left cottonlanding.Millis) {
+	func(h *againHistory, p *simulatedCell, left cottonlanding.Millis) {
 		h.failOrders(p, h.span(turnSpan, left))
 	},
-	func(h *againHistory, p *playedCell, left cottonlanding.Millis) {
+	func(h *againHistory, p *simulatedCell, left cottonlanding.Millis) {
 		h.loseLooks(p, h.span(turnSpan, left))
 	},
-	func(h *againHistory, p *playedCell, left cottonlanding.Millis) {
+	func(h *againHistory, p *simulatedCell, left cottonlanding.Millis) {
 		h.silenceTable(p, h.span(turnSpan, min(left, longestSilentTable)))
 	},
-	func(h *againHistory, p *playedCell, left cottonlanding.Millis) { h.holdUp(p, min(left, longestHold)) },
-	func(h *againHistory, _ *playedCell, _ cottonlanding.Millis) { h.evacuateSome() },
-	func(h *againHistory, _ *playedCell, _ cottonlanding.Millis) { h.submitCulprit() },
+	func(h *againHistory, p *simulatedCell, left cottonlanding.Millis) {
+		h.holdUp(p, min(left, longestHold))
+	},
+	func(h *againHistory, _ *simulatedCell, _ cottonlanding.Millis) { h.evacuateSome() },
+	func(h *againHistory, _ *simulatedCell, _ cottonlanding.Millis) { h.submitCulprit() },
 }
 
 // trouble begins one trouble that has ended by the end of the phase.
@@ -61,7 +63,7 @@
 }
 
 // pick returns up to a number of workers that are sound.
-func (h *againHistory) pick(p *playedCell, most int) []cottonlanding.WorkerInfo {
+func (h *againHistory) pick(p *simulatedCell, most int) []cottonlanding.WorkerInfo {
 	sound := slices.DeleteFunc(slices.Clone(p.workers), func(info cottonlanding.WorkerInfo) bool {
 		return h.gone[info.ID] || h.dark[info.ID] || info.State != cottonlanding.Live
 	})
@@ -69,7 +71,7 @@
 	return sound[:min(most, len(sound))]
 }
 
-func (h *againHistory) crashSome(p *playedCell, most int) {
+func (h *againHistory) crashSome(p *simulatedCell, most int) {
 	for _, info := range h.pick(p, most) {
 		h.tell("%s crashes", info.ID)
 		p.runner.Crash(info.ID)
@@ -90,9 +92,9 @@
 }
 
 // settleCrash has a worker that has crashed be back under its id, have another life at its address, or neither.
-func (h *againHistory) settleCrash(p *playedCell, id cottonlanding.WorkerID) {
+func (h *againHistory) settleCrash(p *simulatedCell, id cottonlanding.WorkerID) {
 	h.gone[id] = true
-	p.lastTrouble = h.now()
+	p.lastFaultAt = h.now()
 	if h.random.Intn(2) == 0 {
 		p.breakConnections(id)
 	}
@@ -109,7 +111,7 @@
 }
 
 // comeBack begins the next life of a worker under its id; its entry tells of that somewhat later.
-func (h *againHistory) comeBack(p *playedCell, id cottonlanding.WorkerID) {
+func (h *againHistory) comeBack(p *simulatedCell, id cottonlanding.WorkerID) {
 	at := slices.IndexFunc(p.workers, func(info cottonlanding.WorkerInfo) bool { return info.ID == id })
 	if at < 0 {
 		return // it was leaving, and its entry has gone
@@ -123,7 +125,7 @@
 }
 
 // replace begins another worker at the address of one that has crashed.
-func (h *againHistory) replace(p *playedCell, id cottonlanding.WorkerID) {
+func (h *againHistory) replace(p *simulatedCell, id cottonlanding.WorkerID) {
 	for _, info := range p.workers {
 		if info.ID == id {
 			info.State = cottonlanding.Live
@@ -135,19 +137,19 @@
 	p.list()
 }
 
-func (h *againHistory) unlist(p *playedCell, id cottonlanding.WorkerID) {
+func (h *againHistory) unlist(p *simulatedCell, id cottonlanding.WorkerID) {
 	h.tell("%s is no longer listed", id)
 	p.workers = slices.DeleteFunc(slices.Clone(p.workers), func(info cottonlanding.WorkerInfo) bool { return info.ID == id })
 	p.list()
 }
 
-func (h *againHistory) silence(p *playedCell, most int, span cottonlanding.Millis) {
+func (h *againHistory) silence(p *simulatedCell, most int, span cottonlanding.Millis) {
 	for _, info := range h.pick(p, most) {
 		h.darken(p, info.ID, span)
 	}
 }
 
-func (h *againHistory) silencePlace(p *playedCell, span cottonlanding.Millis) {
+func (h *againHistory) silencePlace(p *simulatedCell, span cottonlanding.Millis) {
 	place := dataCentres[h.random.Intn(len(dataCentres))]
 	for _, info := range h.pick(p, len(p.workers)) {
 		if info.DataCentre == place {
@@ -156,7 +158,7 @@
 	}
 }
 
-func (h *againHistory) darken(p *playedCell, id cottonlanding.WorkerID, span cottonlanding.Millis) {
+func (h *againHistory) darken(p *simulatedCell, id cottonlanding.WorkerID, span cottonlanding.Millis) {
 	h.tell("%s is silent for %d", id, span)
 	h.dark[id] = true
 	p.runner.Dark(id, true)
@@ -167,7 +169,7 @@
 }
 
 // drainSome has workers leave, with others in their place before or after.
-func (h *againHistory) drainSome(p *playedCell, most int) {
+func (h *againHistory) drainSome(p *simulatedCell, most int) {
 	for _, chosen := range h.pick(p, most) {
 		id := chosen.ID
 		h.tell("%s leaves", id)
@@ -177,7 +179,7 @@
 				p.workers[at].State = cottonlanding.Leaving
 			}
 		}
-		p.lastTrouble = h.now()
+		p.lastFaultAt = h.now()
 		listed := h.span(turnSpan, longestDrain)
 		served := listed + h.span(0, 3*cottonlanding.Second)
 		if h.random.Intn(4) == 0 {
@@ -190,7 +192,7 @@
 	p.list()
 }
 
-func (h *againHistory) endDrained(p *playedCell, id cottonlanding.WorkerID) {
+func (h *againHistory) endDrained(p *simulatedCell, id cottonlanding.WorkerID) {
 	if !h.gone[id] {
 		h.tell("%s has left", id)
 		p.runner.Crash(id)
@@ -200,9 +202,9 @@
 }
 
 // changeOwners has owners follow each other, some of them with a commit whose answer they never get.
-func (h *againHistory) changeOwners(p *playedCell, times int) {
+func (h *againHistory) changeOwners(p *simulatedCell, times int) {
 	after := h.span(300, longestVacancy)
-	if p.owned() && p.plan != nil && p.now >= p.silentTableUntil && h.random.Intn(2) == 0 {
+	if p.owned() && p.plan != nil && p.now >= p.tableSilentUntil && h.random.Intn(2) == 0 {
 		p.apply()
 	}
 	h.tell("the owner ends; the next one comes after %d", after)
@@ -214,7 +216,7 @@
 	}
 }
 
-func (h *againHistory) failOrders(p *playedCell, span cottonlanding.Millis) {
+func (h *againHistory) failOrders(p *simulatedCell, span cottonlanding.Millis) {
 	p.faultOdds = []int{10, 30, 60, 90}[h.random.Intn(4)]
 	for _, info := range h.pick(p, 1+h.random.Intn(max(1, len(p.workers)))) {
 		h.tell("%d of 100 orders to %s fail for %d", p.faultOdds, info.ID, span)
@@ -222,34 +224,34 @@
 	}
 }
 
-func (h *againHistory) loseLooks(p *playedCell, span cottonlanding.Millis) {
+func (h *againHistory) loseLooks(p *simulatedCell, span cottonlanding.Millis) {
 	for _, info := range h.pick(p, 1+h.random.Intn(max(1, len(p.workers)))) {
 		h.tell("looks at %s fail for %d", info.ID, span)
-		p.deafUntil[info.ID] = h.now() + span
+		p.answersLostUntil[info.ID] = h.now() + span
 	}
 }
 
 // silenceTable has no commit succeed for a while. An owner that can't write its beat for long is followed by another
 // once the table answers again.
-func (h *againHistory) silenceTable(p *playedCell, span cottonlanding.Millis) {
+func (h *againHistory) silenceTable(p *simulatedCell, span cottonlanding.Millis) {
 	h.tell("the table is silent for %d", span)
-	p.silentTableUntil = h.now() + span
+	p.tableSilentUntil = h.now() + span
 	if span > ownerTTL {
 		h.later(ownerTTL, func() { p.endOwner(span - ownerTTL + h.span(300, cottonlanding.Second)) })
 	}
 }
 
 // holdUp has the owner stand still, or its starts wait because what it knows is too old.
-func (h *againHistory) holdUp(p *playedCell, most cottonlanding.Millis) {
+func (h *againHistory) holdUp(p *simulatedCell, most cottonlanding.Millis) {
 	span := h.span(turnSpan, most)
 	if h.random.Intn(2) == 0 {
 		h.tell("starts are held for %d", span)
-		p.heldUntil = h.now() + span
+		p.startsHeldUntil = h.now() + span
 		return
 	}
 	span = min(span, ownerTTL)
 	h.tell("the owner stands still for %d", span)
-	p.stuckUntil = h.now() + span
+	p.pausedUntil = h.now() + span
 }
 
 // evacuateSome evacuates a data centre for a while, also beyond the phase of trouble.
--- a/internal/workflow/planner/blockedlog.go
+++ b/internal/workflow/planner/blockedlog.go
@@ -38,9 +38,9 @@
 			blocked = append(blocked, d)
 		}
 	}
-	slices.SortStableFunc(blocked, func(a, b *downtime) int { return cmp.Compare(a.toldAt, b.toldAt) })
+	slices.SortStableFunc(blocked, func(a, b *downtime) int { return cmp.Compare(a.loggedAt, b.loggedAt) })
 	for _, d := range blocked[:min(left, len(blocked))] {
-		d.toldAt, d.toldPlaced = now, d.task.run != nil
+		d.loggedAt, d.loggedPlaced = now, d.task.run != nil
 		c.downtimes.budget.lines++
 		if d.task.run != nil {
 			c.logNotStarted(d.task.run, now)
@@ -52,8 +52,8 @@
 
 // logsBlocked reports whether it's time to log what holds the task back.
 func (d *downtime) logsBlocked(now cottonlanding.Millis) bool {
-	sameReason := d.toldPlaced == (d.task.run != nil)
-	if d.over() || sameReason && d.toldAt > 0 && now-d.toldAt < waitLogInterval {
+	sameReason := d.loggedPlaced == (d.task.run != nil)
+	if d.isOver() || sameReason && d.loggedAt > 0 && now-d.loggedAt < waitLogInterval {
 		return false
 	}
 	if r := d.task.run; r != nil {
@@ -66,8 +66,8 @@
 func (c *Cell) logNotStarted(r *run, now cottonlanding.Millis) {
 	w := r.worker
 	c.logs.lasting.Info("placed task doesn't run", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "PlacedBefore", now-r.placedAt,
-		"Phase", r.phase.String(), "SentBefore", spanSince(r.sentAt, now), "Copies", r.retriesSincePoll, "Ordered", r.orderInFlight, "Doubtful", r.startUnconfirmed,
-		"Reason", r.stopReason, "StopTaken", r.lastStopAckAt > 0, "LastAnswer", spanSince(w.lastAnswerAt, now), "Silent", w.pollFailed,
+		"Phase", r.phase.String(), "SentBefore", elapsedSince(r.sentAt, now), "Copies", r.retriesSincePoll, "Ordered", r.orderInFlight, "Doubtful", r.startUnconfirmed,
+		"Reason", r.stopReason, "StopTaken", r.lastStopAckAt > 0, "LastAnswer", elapsedSince(w.lastAnswerAt, now), "Silent", w.pollFailed,
 		"Cordoned", w.cordoned(), "StartsHeld", c.startsHeld, "MayStart", r.task.job.mayStart(now))
 }
 
--- a/internal/workflow/planner/blockedlog_test.go
+++ b/internal/workflow/planner/blockedlog_test.go
@@ -19,9 +19,9 @@
 	w.submit("lasting", "Urgent", lasting(5, 1, 6000)) // the fifth never runs
 	w.play(cottonlanding.Second)
 	w.leave(0)
-	one := w.idle("lasting")
+	one := w.firstIdle("lasting")
 	w.leave(1)
-	two := w.idle("lasting", one)
+	two := w.firstIdle("lasting", one)
 	w.play(9 * cottonlanding.Second)
 	for _, index := range []int{one, two} {
 		lines := waitLines(t, log, cottonlanding.TaskRef{Workflow: "lasting", Index: index}.String())
@@ -74,7 +74,7 @@
 	w.join()
 	w.cell.HoldStarts(true)
 	w.leave(0)
-	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.idle("lasting")}
+	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.firstIdle("lasting")}
 	w.play(6 * cottonlanding.Second)
 	lines := logLines(t, log, "placed task doesn't run")
 	require.Len(t, lines, 2, "after one second and five")
@@ -95,7 +95,7 @@
 	w.submit("lasting", "Urgent", lasting(4, 1, 6000))
 	w.play(cottonlanding.Second)
 	w.leave(0)
-	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.idle("lasting")}
+	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.firstIdle("lasting")}
 	w.play(cottonlanding.Second)
 	require.Len(t, waitLines(t, log, ref.String()), 1)
 	w.cell.HoldStarts(true)
--- a/internal/workflow/planner/checkpoint.go
+++ b/internal/workflow/planner/checkpoint.go
@@ -37,9 +37,9 @@
 	at     cottonlanding.Millis
 }
 
-// keeper returns the task that holds the texts: for a gang its first one, whichever listed it,
+// checkpointHolder returns the task that holds the texts: for a gang its first one, whichever listed it,
 // so that all members have the same in memory and in the row.
-func (t *task) keeper() *task {
+func (t *task) checkpointHolder() *task {
 	if t.stage.Gang {
 		return t.stage.tasks[0]
 	}
@@ -52,7 +52,7 @@
 	if text == "" || t == nil || t.run != r || t.state == taskDone || !t.stage.Checkpoints {
 		return
 	}
-	t.keeper().checkpoint = knownCheckpoint{text: text, how: how, run: r.Number, worker: r.worker.info.ID, at: now}
+	t.checkpointHolder().checkpoint = knownCheckpoint{text: text, how: how, run: r.Number, worker: r.worker.info.ID, at: now}
 }
 
 // loadCheckpoint takes in the texts of the task's row. The rows of a gang may hold several, of
@@ -60,7 +60,7 @@
 // may hold only the text with which the gang's run is started. Owners of older code have also
 // kept texts that can't be kept as they are.
 func (t *task) loadCheckpoint(row taskRow, now cottonlanding.Millis) {
-	k := t.keeper()
+	k := t.checkpointHolder()
 	if !t.stage.Checkpoints || k.checkpoint.text != "" || k.resumeFrom.text != "" {
 		return
 	}
@@ -74,7 +74,7 @@
 // rowResumeFrom returns the text that the task's row must hold beside the newest one, or nil: the
 // next owner may repeat a start of the present run.
 func (t *task) rowResumeFrom() *cottonlanding.Checkpoint {
-	if t.resumeFrom.text == t.checkpoint.text || !t.placed() {
+	if t.resumeFrom.text == t.checkpoint.text || !t.hasPlacedRun() {
 		return nil
 	}
 	return &t.resumeFrom.text
@@ -83,28 +83,28 @@
 // startsRun reports whether the newest text is the one with which the present run of the task,
 // or of its gang, is started.
 func (t *task) startsRun() bool {
-	return t.checkpoint.text != "" && t.resumeFrom.text == t.checkpoint.text && t.placed()
+	return t.checkpoint.text != "" && t.resumeFrom.text == t.checkpoint.text && t.hasPlacedRun()
 }
 
-// placed reports whether the task has a run that may still be to be started, or another member
+// hasPlacedRun reports whether the task has a run that may still be to be started, or another member
 // of the gang for which it holds the texts.
-func (t *task) placed() bool {
+func (t *task) hasPlacedRun() bool {
 	if !t.stage.Gang {
 		return t.state == taskAssigned
 	}
 	return slices.ContainsFunc(t.stage.tasks, func(member *task) bool { return member.state == taskAssigned })
 }
 
-// fixCheckpoint has the run that is being placed begin with the newest text. The members of a
+// pinCheckpoint has the run that is being placed begin with the newest text. The members of a
 // gang are placed at one instant, between two lists.
-func (t *task) fixCheckpoint() {
-	k := t.keeper()
+func (t *task) pinCheckpoint() {
+	k := t.checkpointHolder()
 	k.resumeFrom = k.checkpoint
 }
 
 // startCheckpoint returns what each start of a task's present run brings, and logs it.
 func (c *Cell) startCheckpoint(w *worker, r *run, now cottonlanding.Millis) cottonlanding.Checkpoint {
-	from := r.task.keeper().resumeFrom
+	from := r.task.checkpointHolder().resumeFrom
 	if from.text != "" {
 		c.logCheckpoint(w, r, from, now)
 	}
--- a/internal/workflow/planner/checkpoint_test.go
+++ b/internal/workflow/planner/checkpoint_test.go
@@ -9,8 +9,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// savedWorld is a world whose workers list texts.
-func savedWorld(t require.TestingT) *world {
+// checkpointWorld is a world whose workers list texts.
+func checkpointWorld(t require.TestingT) *world {
 	w := newSpreadWorld(t)
 	w.checkpoints = newCheckpointRecorder()
 	for range 3 {
@@ -19,16 +19,16 @@
 	return w
 }
 
-// saving is quick for a step that checkpoints.
-func saving(tasks int) cottonlanding.Step {
+// checkpointingStep is quick for a step that checkpoints.
+func checkpointingStep(tasks int) cottonlanding.Step {
 	step := quick(tasks)
 	step.Checkpoints = true
 	return step
 }
 
-// savingGang is saving for a step whose tasks run only together.
-func savingGang(tasks int) cottonlanding.Step {
-	step := saving(tasks)
+// checkpointingGang is saving for a step whose tasks run only together.
+func checkpointingGang(tasks int) cottonlanding.Step {
+	step := checkpointingStep(tasks)
 	step.Gang = true
 	return step
 }
@@ -47,16 +47,16 @@
 // says it is made only by those tasks that checkpoint. The planner kept whatever text a
 // list held, and the next start brought it, also of a step that doesn't checkpoint: there a
 // start that brings any text is one that nobody asked for.
-func TestOnlyStepsThatCheckpointHaveTexts(t *testing.T) {
+func TestOnlyCheckpointingStepsResume(t *testing.T) {
 	t.Run("listed", func(t *testing.T) {
-		w := savedWorld(t)
-		w.submitCheckpointing("again", quick(2), saving(1))
+		w := checkpointWorld(t)
+		w.submitCheckpointing("again", quick(2), checkpointingStep(1))
 		w.play(10 * cottonlanding.Second)
 		require.Empty(t, w.checkpoints.faults)
 		require.NotEmpty(t, w.checkpoints.startedWith[cottonlanding.RunKey{Task: cottonlanding.TaskRef{Workflow: "again", Step: 1}, Number: 2}])
 	})
 	t.Run("in the row", func(t *testing.T) {
-		w := savedWorld(t)
+		w := checkpointWorld(t)
 		w.loadRow("b", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"text"]]}`, quick(1))
 		w.play(5 * cottonlanding.Second)
 		require.Empty(t, w.checkpoints.faults)
@@ -64,13 +64,13 @@
 	})
 }
 
-// note takes a text for one that a run of the task has listed.
-func (b *checkpointRecorder) note(task cottonlanding.TaskRef, text cottonlanding.Checkpoint) {
+// addListed takes a text for one that a run of the task has listed.
+func (b *checkpointRecorder) addListed(task cottonlanding.TaskRef, text cottonlanding.Checkpoint) {
 	b.listed[task] = map[cottonlanding.Checkpoint]bool{text: true}
 }
 
-// ordersBut sends all due orders but those that are lost.
-func (w *world) ordersBut(lost func(planner.Order) bool) {
+// ordersExcept sends all due orders but those that are lost.
+func (w *world) ordersExcept(lost func(planner.Order) bool) {
 	for _, order := range w.cell.Orders(w.now) {
 		order.SentAt = w.now
 		w.checkpoints.recordOrder(order)
@@ -83,29 +83,29 @@
 	}
 }
 
-// requireRepeated has the next owner take over, and checks that it repeats the starts that were
+// requireRetried has the next owner take over, and checks that it repeats the starts that were
 // lost, with the texts that they had to bring.
-func requireRepeated(t *testing.T, w *world, starts int) {
+func requireRetried(t *testing.T, w *world, starts int) {
 	w.takeOver()
 	w.play(2 * cottonlanding.Second)
 	require.Equal(t, starts, w.runner.Starts())
 	require.Empty(t, w.checkpoints.faults)
 }
 
-// turnWithout is turn with the starts of one task lost.
-func (w *world) turnWithout(task cottonlanding.TaskRef) {
+// turnWithoutStart is turn with the starts of one task lost.
+func (w *world) turnWithoutStart(task cottonlanding.TaskRef) {
 	w.now += turnSpan
 	w.commit()
-	w.ordersBut(func(order planner.Order) bool { return order.Start.Task == task })
+	w.ordersExcept(func(order planner.Order) bool { return order.Start.Task == task })
 	w.pollAll()
 }
 
 // The page that describes workers says that the text of any member serves for its gang, and
 // that all members must bring the same one. Each member brought its own: whatever it was
 // listed with last. So a gang that had listed texts was started with as many of them.
-func TestGangBringsOneText(t *testing.T) {
-	w := savedWorld(t)
-	w.submitCheckpointing("again", savingGang(2))
+func TestGangSharesOneCheckpoint(t *testing.T) {
+	w := checkpointWorld(t)
+	w.submitCheckpointing("again", checkpointingGang(2))
 	w.play(10 * cottonlanding.Second)
 	require.Empty(t, w.checkpoints.faults)
 	text := w.checkpoints.startedWith[cottonlanding.RunKey{Task: firstTask("again"), Number: 2}]
@@ -117,17 +117,17 @@
 // The same through a change of owner: the rows that owners have written until now hold a text
 // of each member. Whether the gang waits or some of its starts may have gone out, the next
 // owner brings one of these texts for all.
-func TestGangOfRowsThatDifferBringsOneText(t *testing.T) {
+func TestGangRowsWithDifferentCheckpoints(t *testing.T) {
 	for name, tasks := range map[string]string{
 		"waiting":  `["",1],["",1,"",0,"two"],["",1,"",0,"three"]`,
 		"one text": `["",1,"",0,"two"],["",1],["",1]`,
 		"placed":   `["A",1,"w1"],["A",1,"w2",0,"two"],["A",1,"w3",0,"three"]`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := savedWorld(t)
-			w.checkpoints.note(cottonlanding.TaskRef{Workflow: "gang", Index: 1}, "two")
-			w.checkpoints.note(cottonlanding.TaskRef{Workflow: "gang", Index: 2}, "three")
-			w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+tasks+`]}`, savingGang(3))
+			w := checkpointWorld(t)
+			w.checkpoints.addListed(cottonlanding.TaskRef{Workflow: "gang", Index: 1}, "two")
+			w.checkpoints.addListed(cottonlanding.TaskRef{Workflow: "gang", Index: 2}, "three")
+			w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+tasks+`]}`, checkpointingGang(3))
 			w.play(5 * cottonlanding.Second)
 			require.Empty(t, w.checkpoints.faults)
 			require.NotEmpty(t, w.checkpoints.startedWith)
@@ -138,14 +138,14 @@
 	}
 }
 
-// partlyStarted returns a world in which one member of a gang goes on and has listed texts, and
+// newPartlyStartedWorld returns a world in which one member of a gang goes on and has listed texts, and
 // each start of the other was lost. The first row is that of the gang's first task.
-func partlyStarted(t require.TestingT, firstRow string) *world {
-	w := savedWorld(t)
-	w.checkpoints.note(firstTask("slow"), "one")
-	w.loadRow("slow", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+firstRow+`,["",1]]}`, savingGang(2))
+func newPartlyStartedWorld(t require.TestingT, firstRow string) *world {
+	w := checkpointWorld(t)
+	w.checkpoints.addListed(firstTask("slow"), "one")
+	w.loadRow("slow", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+firstRow+`,["",1]]}`, checkpointingGang(2))
 	for range 20 {
-		w.turnWithout(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
+		w.turnWithoutStart(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
 	}
 	require.Equal(t, 1, w.runner.Starts())
 	require.Greater(t, len(w.checkpoints.listed[firstTask("slow")]), 1, "the member that has begun lists texts")
@@ -155,8 +155,8 @@
 // A start that gets no answer is repeated, and each repeat read the gang's text anew. So one
 // run was started with the text that it was placed with and with those that a member which had
 // begun has listed since, while the members must all bring the same.
-func TestRepeatedStartBringsTheTextOfItsRun(t *testing.T) {
-	w := partlyStarted(t, `["",1,"",0,"one"]`)
+func TestRetriedStartKeepsCheckpoint(t *testing.T) {
+	w := newPartlyStartedWorld(t, `["",1,"",0,"one"]`)
 	w.play(2 * cottonlanding.Second)
 	require.Equal(t, 2, w.runner.Starts())
 	require.Empty(t, w.checkpoints.faults)
@@ -165,14 +165,14 @@
 // A gang is done with its first member that is, and its texts are dropped. A start of another
 // member, to which there was no answer by then, was repeated without the text that the copies
 // before had brought.
-func TestRepeatedStartOfAGangThatIsDoneBringsItsText(t *testing.T) {
-	w := savedWorld(t)
-	w.checkpoints.note(firstTask("gang"), "one")
+func TestRetriedStartOfFinishedGangKeepsCheckpoint(t *testing.T) {
+	w := checkpointWorld(t)
+	w.checkpoints.addListed(firstTask("gang"), "one")
 	after := quick(10)
 	after.After = []int{0}
-	w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"one"],["",1,"",0,"one"]]}`, savingGang(2), after)
+	w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"one"],["",1,"",0,"one"]]}`, checkpointingGang(2), after)
 	for range 20 {
-		w.turnWithout(cottonlanding.TaskRef{Workflow: "gang", Index: 1})
+		w.turnWithoutStart(cottonlanding.TaskRef{Workflow: "gang", Index: 1})
 	}
 	require.Greater(t, w.runner.Starts(), 1, "the step after the gang has begun")
 	require.Empty(t, w.checkpoints.faults)
@@ -181,7 +181,7 @@
 // The same with a change of owner before the repeat: the row held the newest text alone, so
 // that the next owner could not know which one the members that have begun had brought. That may
 // be none, and the first member, whose row has the texts, may have ended by then.
-func TestNextOwnerRepeatsAStartWithTheTextOfItsRun(t *testing.T) {
+func TestNextOwnerRetriesStartWithCheckpoint(t *testing.T) {
 	for name, one := range map[string]struct {
 		firstRow string
 		ends     bool
@@ -191,26 +191,26 @@
 		"first member has ended": {firstRow: `["",1,"",0,"one"]`, ends: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := partlyStarted(t, one.firstRow)
+			w := newPartlyStartedWorld(t, one.firstRow)
 			if one.ends {
 				run := cottonlanding.RunKey{Task: firstTask("slow"), Number: 2}
 				require.NoError(t, w.runner.Stop(t.Context(), cottonlanding.WorkerRef{Life: cottonlanding.Life{Worker: "w1"}}, run, w.epoch))
-				w.turnWithout(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
+				w.turnWithoutStart(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
 			}
 			w.cell.MarkDirty("slow")
 			w.commit()
-			requireRepeated(t, w, 2)
+			requireRetried(t, w, 2)
 		})
 	}
 }
 
 // A member that ends after its gang is done lists its text all the same. It was kept in the row
 // of a task that is never started again, for as long as the workflow is.
-func TestTextsOfAGangThatIsDoneAreDropped(t *testing.T) {
-	w := savedWorld(t)
+func TestCheckpointsOfFinishedGangAreDropped(t *testing.T) {
+	w := checkpointWorld(t)
 	after := quick(10)
 	after.After = []int{0}
-	w.submitCheckpointing("gang", savingGang(2), after)
+	w.submitCheckpointing("gang", checkpointingGang(2), after)
 	ended := cottonlanding.TaskRef{Workflow: "gang", Index: 1}
 	for len(w.checkpoints.listed[ended]) == 0 || w.runner.Runs(ended) {
 		w.turn(turnSpan)
@@ -225,10 +225,10 @@
 // lost and repeats that, with the text of the row, which this very run may have made in the life
 // before. The birth in the row tells the lives apart: the run has ended, and the text goes to
 // the next one.
-func TestNextOwnerBringsNoTextToTheRunThatMadeIt(t *testing.T) {
+func TestNextOwnerTellsLivesApartByBirth(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.checkpoints = newCheckpointRecorder()
-	w.submitCheckpointing("slow", saving(1))
+	w.submitCheckpointing("slow", checkpointingStep(1))
 	w.play(2 * cottonlanding.Second)
 	w.touchAll()
 	for at := range w.workers {
@@ -244,9 +244,9 @@
 // The same where workers tell no births: nothing tells the two lives apart then, and the start is
 // repeated. It must bring the text that the run was started with at first, none here, and not one
 // that this run has made since.
-func TestNextOwnerRepeatsAStartWithItsTextWithoutBirths(t *testing.T) {
-	w := savedWorld(t)
-	w.submitCheckpointing("slow", saving(1))
+func TestNextOwnerRetriesStartWithoutBirths(t *testing.T) {
+	w := checkpointWorld(t)
+	w.submitCheckpointing("slow", checkpointingStep(1))
 	w.play(2 * cottonlanding.Second)
 	w.touchAll()
 	for _, info := range w.workers {
--- a/internal/workflow/planner/checkpointfaults_test.go
+++ b/internal/workflow/planner/checkpointfaults_test.go
@@ -10,11 +10,11 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestTextsAmongFaults plays workflows of several steps and rounds, whose tasks fail once and list
+// TestCheckpointsAmongFaults plays workflows of several steps and rounds, whose tasks fail once and list
 // texts, among lost, late and repeated orders, workers that are back under their ids, rows that are written
 // and read by the next owner, and commits without an answer. Each start brings no text or one
 // of its own task or gang, and all starts of a run and of its gang the same.
-func TestTextsAmongFaults(t *testing.T) {
+func TestCheckpointsAmongFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorldWithBirths(t)
 		w.checkpoints = newCheckpointRecorder()
--- a/internal/workflow/planner/delegation.go
+++ b/internal/workflow/planner/delegation.go
@@ -127,7 +127,7 @@
 
 // setAway changes the state of a task without a run to or from one that isn't run here.
 func (t *task) setAway(state taskState) {
-	t.job.size.away += len(state) - len(t.state)
+	t.job.size.remote += len(state) - len(t.state)
 	t.state = state
 }
 
@@ -178,7 +178,7 @@
 		return false // it is to run down
 	}
 	ends := j.state.Final() || j.Schedule.Rounds > 0 || j.isGuest()
-	return !ends && j.persisted && stateFits(j.Workflow, widestLife)
+	return !ends && j.persisted && rowFits(j.Workflow, maxLifeBytes)
 }
 
 // delegable reports whether the task waits without room for long enough.
--- a/internal/workflow/planner/down.go
+++ b/internal/workflow/planner/down.go
@@ -11,26 +11,26 @@
 // has ended may be known a whole lease later. docs/design/lasting-tasks.md adds up all waits.
 
 const (
-	// mostDown is how long a lasting task may be down. Source: the users' rule on lost tasks: six seconds
+	// maxDowntime is how long a lasting task may be down. Source: the users' rule on lost tasks: six seconds
 	// after its last run, and three of calm.
-	mostDown = 9 * cottonlanding.Second
-	// mostHeldBack is how long after its run was last seen a task may be kept waiting for the sake of
+	maxDowntime = 9 * cottonlanding.Second
+	// maxDeferral is how long after its run was last seen a task may be kept waiting for the sake of
 	// others. What is left of mostDown is for making room and for the start.
-	mostHeldBack = 7 * cottonlanding.Second
-	// startPatience is how long a lasting task stays with a worker that doesn't tell of its start while
+	maxDeferral = 7 * cottonlanding.Second
+	// startTimeout is how long a lasting task stays with a worker that doesn't tell of its start while
 	// others have room: for two starts without an answer. lastStartPatience is the same for one that
 	// must run again, for one start.
-	startPatience     = 2250 * cottonlanding.Millis(1)
-	lastStartPatience = cottonlanding.Second
-	// mostLongerPatience is how often the patience is doubled, once for each worker that a task has left in vain: where
+	startTimeout       = 2250 * cottonlanding.Millis(1)
+	urgentStartTimeout = cottonlanding.Second
+	// maxStartTimeoutDoublings is how often the patience is doubled, once for each worker that a task has left in vain: where
 	// all workers carry out their orders late, a task that left each of them would never run.
-	mostLongerPatience = 3
-	// mostUnheard bounds the tasks for which other workers are looked for in one decision.
-	mostUnheard = 10
+	maxStartTimeoutDoublings = 3
+	// maxAbandonedPerDecision bounds the tasks for which other workers are looked for in one decision.
+	maxAbandonedPerDecision = 10
 )
 
-// recordAtWork notes that the run was at work at an instant.
-func (r *run) recordAtWork(now cottonlanding.Millis) {
+// recordRunning notes that the run was at work at an instant.
+func (r *run) recordRunning(now cottonlanding.Millis) {
 	if t := r.task; t != nil && t.run == r {
 		t.lastRunningAt, t.abandonedStarts = now, 0
 	}
@@ -46,25 +46,25 @@
 
 // mustRunAgain reports whether a lasting task that has run may not be kept waiting for the sake of others any more.
 func (t *task) mustRunAgain(now cottonlanding.Millis) bool {
-	return t.stage.Lasting && !t.stage.Fills && t.number > 0 && now-t.downSince() >= mostHeldBack
+	return t.stage.Lasting && !t.stage.Fills && t.number > 0 && now-t.downSince() >= maxDeferral
 }
 
-// leaveUnheard stops the runs of lasting tasks of whose start their workers don't tell, though they answer looks, where
+// abandonOverdueStarts stops the runs of lasting tasks of whose start their workers don't tell, though they answer looks, where
 // another worker has room. The task is placed there once the run is ruled out.
-func (c *Cell) leaveUnheard(now cottonlanding.Millis) {
-	var unheard []*task
+func (c *Cell) abandonOverdueStarts(now cottonlanding.Millis) {
+	var startOverdue []*task
 	for _, j := range c.openJobs {
 		if !j.hasLasting {
 			continue
 		}
 		j.eachTask(func(t *task) {
-			if t.unheard(now) {
-				unheard = append(unheard, t)
+			if t.startOverdue(now) {
+				startOverdue = append(startOverdue, t)
 			}
 		})
 	}
-	for _, t := range c.unheardCursor.take(unheard, mostUnheard) {
-		if c.hasOtherPlace(t, now) {
+	for _, t := range c.unheardCursor.take(startOverdue, maxAbandonedPerDecision) {
+		if c.fitsOnOtherWorker(t, now) {
 			t.abandonedStarts++
 			t.failedOn = append(t.failedOn, t.run.worker.life())
 			c.stop(t.run, "its worker has not told of the start", now)
@@ -72,31 +72,31 @@
 	}
 }
 
-// unheardPatience returns how long the task stays with a worker that doesn't tell of its start.
-func (t *task) unheardPatience(now cottonlanding.Millis) cottonlanding.Millis {
+// effectiveStartTimeout returns how long the task stays with a worker that doesn't tell of its start.
+func (t *task) effectiveStartTimeout(now cottonlanding.Millis) cottonlanding.Millis {
 	if t.abandonedStarts == 0 && t.mustRunAgain(now) {
-		return lastStartPatience
+		return urgentStartTimeout
 	}
-	return startPatience << min(t.abandonedStarts, mostLongerPatience)
+	return startTimeout << min(t.abandonedStarts, maxStartTimeoutDoublings)
 }
 
-// unheard reports whether the worker of a lasting task has answered a look since the task was first started there, and has
+// startOverdue reports whether the worker of a lasting task has answered a look since the task was first started there, and has
 // not told of the start for long. The members of a gang wait for each other, and stay.
-func (t *task) unheard(now cottonlanding.Millis) bool {
+func (t *task) startOverdue(now cottonlanding.Millis) bool {
 	r := t.run
 	if r == nil || r.phase != sent || r.stopping || !t.stage.Lasting || t.stage.Fills || t.stage.Gang {
 		return false
 	}
-	return r.leavesUnanswered() && now-r.firstSentAt >= t.unheardPatience(now) && r.worker.reachable(now) && r.worker.lastAnswerAt > r.firstSentAt
+	return r.hasUnansweredStart() && now-r.firstSentAt >= t.effectiveStartTimeout(now) && r.worker.reachable(now) && r.worker.lastAnswerAt > r.firstSentAt
 }
 
-// leavesUnanswered reports whether the run's worker has left a start of it unanswered, or now does so with those before it. A
+// hasUnansweredStart reports whether the run's worker has left a start of it unanswered, or now does so with those before it. A
 // start that waits in a busy owner says nothing of its worker.
-func (r *run) leavesUnanswered() bool {
+func (r *run) hasUnansweredStart() bool {
 	return r.unansweredStarts > 0 || r.firstSentAt > 0 && r.worker.orderUnanswered
 }
 
-// hasOtherPlace reports whether a worker other than that of its run could take a task.
-func (c *Cell) hasOtherPlace(t *task, now cottonlanding.Millis) bool {
+// fitsOnOtherWorker reports whether a worker other than that of its run could take a task.
+func (c *Cell) fitsOnOtherWorker(t *task, now cottonlanding.Millis) bool {
 	return slices.ContainsFunc(c.sortedWorkers(), func(w *worker) bool { return w != t.run.worker && c.fits(t, w, now) })
 }
--- a/internal/workflow/planner/downrow.go
+++ b/internal/workflow/planner/downrow.go
@@ -10,55 +10,55 @@
 // bounds of leases, so that a new owner doesn't count from its own beginning.
 
 const (
-	// downToldAfter is how long a task is down before that is written: most run again before.
-	downToldAfter = 2 * cottonlanding.Second
-	// mostDownTold bounds the tasks that are written.
-	mostDownTold = 100
-	// downEvery is how often it is worked out which tasks are down.
-	downEvery = 250 * cottonlanding.Millis(1)
+	// downRecordDelay is how long a task is down before that is written: most run again before.
+	downRecordDelay = 2 * cottonlanding.Second
+	// maxDownRecords bounds the tasks that are written.
+	maxDownRecords = 100
+	// downCheckInterval is how often it is worked out which tasks are down.
+	downCheckInterval = 250 * cottonlanding.Millis(1)
 )
 
-// downSpans holds since when tasks are down, by the table's clock.
-type downSpans map[string]cottonlanding.TableInstant
+// downInstants holds since when tasks are down, by the table's clock.
+type downInstants map[string]cottonlanding.TableInstant
 
-// downRow is what of the row tells of tasks that are down.
-type downRow struct {
-	// kept is what is written, planned what is in the plan under way, wanted what was worked out at wantedAt.
-	kept, planned, wanted downSpans
-	wantedAt              cottonlanding.Millis
+// downRecord is what of the row tells of tasks that are down.
+type downRecord struct {
+	// stored is what is written, planned what is in the plan under way, required what was worked out at wantedAt.
+	stored, planned, required downInstants
+	computedAt                cottonlanding.Millis
 }
 
-// downWanted returns since when tasks are down, as it should be written.
-func (c *Cell) downWanted(now cottonlanding.Millis) downSpans {
+// requiredDownRecord returns since when tasks are down, as it should be written.
+func (c *Cell) requiredDownRecord(now cottonlanding.Millis) downInstants {
 	d := &c.bounds.down
-	if d.wantedAt > 0 && now-d.wantedAt < downEvery {
-		return d.wanted
+	if d.computedAt > 0 && now-d.computedAt < downCheckInterval {
+		return d.required
 	}
-	d.wantedAt, d.wanted = now, make(downSpans)
+	d.computedAt, d.required = now, make(downInstants)
 	if c.bounds.clock == nil {
-		return d.wanted
+		return d.required
 	}
 	for _, j := range c.openJobs {
 		if !j.hasLasting {
 			continue
 		}
 		j.eachTask(func(t *task) {
-			if t.missedFor(now) < downToldAfter || len(d.wanted) >= mostDownTold {
+			if t.downFor(now) < downRecordDelay || len(d.required) >= maxDownRecords {
 				return
 			}
 			name := t.ref.String()
-			if shown, kept := d.kept[name]; kept {
-				d.wanted[name] = shown
+			if shown, stored := d.stored[name]; stored {
+				d.required[name] = shown
 				return
 			}
-			d.wanted[name] = c.bounds.clock.Latest(t.downSince())
+			d.required[name] = c.bounds.clock.Latest(t.downSince())
 		})
 	}
-	return d.wanted
+	return d.required
 }
 
-// inheritSilence takes over since when a worker is silent about at least: its lasting tasks may be down since then.
-func (c *Cell) inheritSilence(w *worker, since cottonlanding.Millis) {
+// inheritSilentSince takes over since when a worker is silent about at least: its lasting tasks may be down since then.
+func (c *Cell) inheritSilentSince(w *worker, since cottonlanding.Millis) {
 	for _, r := range w.runs.all() {
 		if t := r.task; t != nil && t.run == r && t.stage.Lasting && since < t.downSince() {
 			t.lastRunningAt = max(1, since)
@@ -66,9 +66,9 @@
 	}
 }
 
-// missedFor returns for how long a lasting task that has run is down, or may be since its worker is silent. It is zero for
+// downFor returns for how long a lasting task that has run is down, or may be since its worker is silent. It is zero for
 // one that runs or never did.
-func (t *task) missedFor(now cottonlanding.Millis) cottonlanding.Millis {
+func (t *task) downFor(now cottonlanding.Millis) cottonlanding.Millis {
 	waits := t.state == taskWaiting || t.run != nil && (t.run.phase < started || t.run.worker.pollFailed)
 	if !waits || !t.stage.Lasting || t.stage.Fills || t.number == 0 {
 		return 0
@@ -76,13 +76,13 @@
 	return now - t.downSince()
 }
 
-// downDue reports whether what is written of tasks that are down has changed.
-func (c *Cell) downDue(now cottonlanding.Millis) bool {
-	return !maps.Equal(c.downWanted(now), c.bounds.down.kept)
+// downRecordChanged reports whether what is written of tasks that are down has changed.
+func (c *Cell) downRecordChanged(now cottonlanding.Millis) bool {
+	return !maps.Equal(c.requiredDownRecord(now), c.bounds.down.stored)
 }
 
-// inheritDown takes over since when tasks are down. One that runs all the same is seen to by the first look.
-func (c *Cell) inheritDown(spans downSpans, now cottonlanding.Millis) {
+// loadDownRecord takes over since when tasks are down. One that runs all the same is seen to by the first look.
+func (c *Cell) loadDownRecord(spans downInstants, now cottonlanding.Millis) {
 	for name, shown := range spans {
 		ref, err := cottonlanding.ParseTaskRef(name)
 		if err != nil || c.jobs[ref.Workflow] == nil {
--- a/internal/workflow/planner/downtime.go
+++ b/internal/workflow/planner/downtime.go
@@ -15,11 +15,11 @@
 	// ranAt is when the task was last known to run, zero if this owner never knew, and since is when this owner
 	// took in that it doesn't.
 	ranAt, since cottonlanding.Millis
-	// told says that it was logged: not before it's known that the task may have run, and runs no more.
-	told bool
-	// toldAt is when it was last logged what holds the task back, toldPlaced that it had a worker then.
-	toldAt     cottonlanding.Millis
-	toldPlaced bool
+	// logged says that it was logged: not before it's known that the task may have run, and runs no more.
+	logged bool
+	// loggedAt is when it was last logged what holds the task back, toldPlaced that it had a worker then.
+	loggedAt     cottonlanding.Millis
+	loggedPlaced bool
 }
 
 // downtimes holds the downtimes of a cell, and what of their beginnings and ends is to be logged.
@@ -30,19 +30,21 @@
 	budget blockedLogBudget
 }
 
-// unknownSpan is what the log shows for a span of which this owner doesn't know the beginning.
-const unknownSpan cottonlanding.Millis = -1
+// unknownDuration is what the log shows for a span of which this owner doesn't know the beginning.
+const unknownDuration cottonlanding.Millis = -1
 
-// logPlace is where a lasting task ran or runs: the key and the value of the log.
-type logPlace struct{ key, value string }
+// logLocation is where a lasting task ran or runs: the key and the value of the log.
+type logLocation struct{ key, value string }
 
-func onWorker(w *worker) logPlace { return logPlace{"Worker", string(w.info.ID)} }
+func onWorker(w *worker) logLocation { return logLocation{"Worker", string(w.info.ID)} }
 
-func inCell(key string, cell cottonlanding.CellNumber) logPlace { return logPlace{key, cell.String()} }
+func inCell(key string, cell cottonlanding.CellNumber) logLocation {
+	return logLocation{key, cell.String()}
+}
 
 // downLine is a downtime of which something is to be logged.
 type downLine struct {
-	at     logPlace
+	at     logLocation
 	task   *task
 	number cottonlanding.RunNumber
 	fields []logField
@@ -54,19 +56,19 @@
 	value any
 }
 
-// spanSince returns how long ago an instant was.
-func spanSince(at, now cottonlanding.Millis) cottonlanding.Millis {
+// elapsedSince returns how long ago an instant was.
+func elapsedSince(at, now cottonlanding.Millis) cottonlanding.Millis {
 	if at == 0 {
-		return unknownSpan
+		return unknownDuration
 	}
 	return now - at
 }
 
-// lastAtWork is when the run was last known to go on, zero if it never was.
-func (r *run) lastAtWork() cottonlanding.Millis { return max(r.listedAt, r.ackedAt) }
+// lastConfirmedAt is when the run was last known to go on, zero if it never was.
+func (r *run) lastConfirmedAt() cottonlanding.Millis { return max(r.listedAt, r.ackedAt) }
 
 // mayHaveRun reports whether the run may have begun on its worker.
-func (r *run) mayHaveRun() bool { return r.lastAtWork() > 0 || r.startUnconfirmed }
+func (r *run) mayHaveRun() bool { return r.lastConfirmedAt() > 0 || r.startUnconfirmed }
 
 // recordDown takes in that the run of a lasting task doesn't go on. It comes before the run is taken off its task.
 func (c *Cell) recordDown(r *run, cause string, now cottonlanding.Millis) {
@@ -75,10 +77,10 @@
 		return
 	}
 	if t.downtime == nil {
-		c.beginDowntime(t, r.lastAtWork(), now)
+		c.beginDowntime(t, r.lastConfirmedAt(), now)
 	}
 	if r.mayHaveRun() {
-		c.tellDown(t, onWorker(r.worker), cause, r.stopReason, now)
+		c.queueDownLine(t, onWorker(r.worker), cause, r.stopReason, now)
 	}
 }
 
@@ -101,15 +103,15 @@
 	}
 	c.beginDowntime(t, 0, now)
 	if t.state == taskWaiting {
-		c.tellDown(t, logPlace{"Worker", ""}, "Loaded", "", now)
+		c.queueDownLine(t, logLocation{"Worker", ""}, "Loaded", "", now)
 	}
 }
 
-// recordGuestDown begins the downtime of a task that this cell takes for its keeper.
-func (c *Cell) recordGuestDown(t *task, now cottonlanding.Millis) {
+// recordDelegatedDown begins the downtime of a task that this cell takes for its keeper.
+func (c *Cell) recordDelegatedDown(t *task, now cottonlanding.Millis) {
 	if t.stage.Lasting && t.number > 0 {
 		c.beginDowntime(t, 0, now)
-		c.tellDown(t, inCell("Keeper", *t.job.delegatedBy), "Delegated", "", now)
+		c.queueDownLine(t, inCell("Keeper", *t.job.delegatedBy), "Delegated", "", now)
 	}
 }
 
@@ -117,7 +119,7 @@
 func (c *Cell) recordReturned(t *task, from cottonlanding.CellNumber, now cottonlanding.Millis) {
 	if t.downtime == nil {
 		c.beginDowntime(t, t.waitingSince, now)
-		c.tellDown(t, inCell("GuestCell", from), "Returned", "", now)
+		c.queueDownLine(t, inCell("GuestCell", from), "Returned", "", now)
 	}
 }
 
@@ -126,14 +128,14 @@
 	c.downtimes.open = append(c.downtimes.open, t.downtime)
 }
 
-// tellDown has the beginning of a downtime logged, once.
-func (c *Cell) tellDown(t *task, at logPlace, cause, reason string, now cottonlanding.Millis) {
+// queueDownLine has the beginning of a downtime logged, once.
+func (c *Cell) queueDownLine(t *task, at logLocation, cause, reason string, now cottonlanding.Millis) {
 	d := t.downtime
-	if d.told {
+	if d.logged {
 		return
 	}
-	d.told = true
-	fields := []logField{{"Cause", cause}, {"Since", spanSince(d.ranAt, now)}}
+	d.logged = true
+	fields := []logField{{"Cause", cause}, {"Since", elapsedSince(d.ranAt, now)}}
 	if reason != "" {
 		fields = append(fields, logField{"Reason", reason})
 	}
@@ -153,23 +155,23 @@
 // recordRunsElsewhere takes in that a run of a delegated task goes on in its guest cell.
 func (c *Cell) recordRunsElsewhere(t *task, number cottonlanding.RunNumber, cell cottonlanding.CellNumber, now cottonlanding.Millis) {
 	if t.downtime != nil {
-		c.endDowntime(t, downLine{at: inCell("GuestCell", cell), task: t, number: number}, unknownSpan, unknownSpan, now)
+		c.endDowntime(t, downLine{at: inCell("GuestCell", cell), task: t, number: number}, unknownDuration, unknownDuration, now)
 	}
 }
 
 func (c *Cell) endDowntime(t *task, line downLine, waited, starting, now cottonlanding.Millis) {
 	d := t.downtime
 	t.downtime = nil
-	if !d.told {
+	if !d.logged {
 		return
 	}
-	line.fields = []logField{{"DownFor", spanSince(d.ranAt, now)}, {"KnownFor", now - d.since}, {"WaitedForPlace", waited},
+	line.fields = []logField{{"DownFor", elapsedSince(d.ranAt, now)}, {"KnownFor", now - d.since}, {"WaitedForPlace", waited},
 		{"PlacedToStarted", starting}, {"Placements", int(line.number - d.number)}}
 	c.downtimes.starts = append(c.downtimes.starts, line)
 }
 
-// over reports whether nothing more is to be told of a downtime here.
-func (d *downtime) over() bool {
+// isOver reports whether nothing more is to be told of a downtime here.
+func (d *downtime) isOver() bool {
 	t := d.task
 	return t.downtime != d || t.job.state.Final() || t.state == taskDone || t.state == taskElsewhere
 }
@@ -179,17 +181,17 @@
 	c.logDownLines("lasting task down", "lasting tasks down", c.downtimes.downs)
 	c.logDownLines("lasting task runs again", "lasting tasks run again", c.downtimes.starts)
 	c.downtimes.downs, c.downtimes.starts = nil, nil
-	c.downtimes.open = slices.DeleteFunc(c.downtimes.open, (*downtime).over)
+	c.downtimes.open = slices.DeleteFunc(c.downtimes.open, (*downtime).isOver)
 }
 
-// tasksPerLine bounds the tasks that one line lists.
-const tasksPerLine = 50
+// maxTasksPerLine bounds the tasks that one line lists.
+const maxTasksPerLine = 50
 
 // logDownLines logs one line for each place, which lists its tasks if there are several.
 func (c *Cell) logDownLines(one, several string, lines []downLine) {
 	lines = slices.DeleteFunc(lines, func(l downLine) bool { return l.task.job.state.Final() })
-	byPlace := make(map[logPlace][]downLine)
-	var places []logPlace
+	byPlace := make(map[logLocation][]downLine)
+	var places []logLocation
 	for _, line := range lines {
 		if byPlace[line.at] == nil {
 			places = append(places, line.at)
@@ -197,7 +199,7 @@
 		byPlace[line.at] = append(byPlace[line.at], line)
 	}
 	for _, at := range places {
-		for some := range slices.Chunk(byPlace[at], tasksPerLine) {
+		for some := range slices.Chunk(byPlace[at], maxTasksPerLine) {
 			c.logDownLine(one, several, some)
 		}
 	}
--- a/internal/workflow/planner/downtime_test.go
+++ b/internal/workflow/planner/downtime_test.go
@@ -18,8 +18,8 @@
 	againMessages = []string{"lasting task runs again", "lasting tasks run again"}
 )
 
-// told returns how often lines with one of the messages name a task.
-func told(t require.TestingT, log *bytes.Buffer, messages []string, ref cottonlanding.TaskRef) int {
+// countLogged returns how often lines with one of the messages name a task.
+func countLogged(t require.TestingT, log *bytes.Buffer, messages []string, ref cottonlanding.TaskRef) int {
 	count := 0
 	for _, line := range logLines(t, log, messages...) {
 		if line["Task"] == ref.String() {
@@ -45,8 +45,8 @@
 	return w.now - began
 }
 
-// idle returns the first task of a workflow's first step that doesn't run, beside some that are known.
-func (w *world) idle(id cottonlanding.WorkflowID, known ...int) int {
+// firstIdle returns the first task of a workflow's first step that doesn't run, beside some that are known.
+func (w *world) firstIdle(id cottonlanding.WorkflowID, known ...int) int {
 	index := 0
 	for slices.Contains(known, index) || w.runs(id, index) {
 		index++
@@ -64,18 +64,18 @@
 	w.play(cottonlanding.Second)
 }
 
-// downsOf counts the downtimes that a log tells of the first tasks of a workflow's first step.
-func (w *world) downsOf(log *bytes.Buffer, id cottonlanding.WorkflowID, tasks int) int {
+// countDowntimes counts the downtimes that a log tells of the first tasks of a workflow's first step.
+func (w *world) countDowntimes(log *bytes.Buffer, id cottonlanding.WorkflowID, tasks int) int {
 	count := 0
 	for index := range tasks {
-		count += told(w.t, log, downMessages, cottonlanding.TaskRef{Workflow: id, Index: index})
+		count += countLogged(w.t, log, downMessages, cottonlanding.TaskRef{Workflow: id, Index: index})
 	}
 	return count
 }
 
-// TestStoppedLastingTaskTellsItsDowntime guards against a log from which it can't be read for how long a lasting task
+// TestStoppedTaskLogsDowntime guards against a log from which it can't be read for how long a lasting task
 // was down, why, and in what that time went.
-func TestStoppedLastingTaskTellsItsDowntime(t *testing.T) {
+func TestStoppedTaskLogsDowntime(t *testing.T) {
 	w := newSpreadWorld(t)
 	log := w.captureLog()
 	w.play(cottonlanding.Second)
@@ -83,7 +83,7 @@
 	w.play(cottonlanding.Second)
 	require.Empty(t, logLines(t, log, slices.Concat(downMessages, againMessages)...), "a task that begins for the first time was not down")
 	w.leave(0)
-	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.idle("lasting")}
+	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.firstIdle("lasting")}
 	w.play(2 * cottonlanding.Second)
 	w.join()
 	w.awaitRun(ref, cottonlanding.Second)
@@ -109,8 +109,8 @@
 	require.InDelta(t, known+downs[0]["Since"].(float64), starts[0]["DownFor"], 2*float64(turnSpan))
 }
 
-// TestOneLineTellsAllDownTasksOfAWorker guards against an owner whose log grows by a line a task when a worker is lost.
-func TestOneLineTellsAllDownTasksOfAWorker(t *testing.T) {
+// TestDownTasksAreLoggedTogether guards against an owner whose log grows by a line a task when a worker is lost.
+func TestDownTasksAreLoggedTogether(t *testing.T) {
 	w := newSpreadWorld(t)
 	log := w.captureLog()
 	w.play(cottonlanding.Second)
@@ -127,22 +127,22 @@
 	require.Contains(t, downs[0]["Tasks"].([]any)[0], "Cause=its lease surely ran out")
 	for index := range 240 {
 		ref := cottonlanding.TaskRef{Workflow: "lasting", Index: index}
-		require.Equal(t, told(t, log, downMessages, ref), told(t, log, againMessages, ref))
+		require.Equal(t, countLogged(t, log, downMessages, ref), countLogged(t, log, againMessages, ref))
 	}
 	require.LessOrEqual(t, len(logLines(t, log, againMessages...)), 16)
 }
 
-// TestNewOwnerTellsWhatIsDown guards against a downtime that a change of owners hides.
-func TestNewOwnerTellsWhatIsDown(t *testing.T) {
+// TestNewOwnerLogsDownTasks guards against a downtime that a change of owners hides.
+func TestNewOwnerLogsDownTasks(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
 	w.submit("lasting", "Urgent", lasting(4, 1, 6000))
 	w.play(cottonlanding.Second)
 	w.leave(0)
-	waits := w.idle("lasting")
+	waits := w.firstIdle("lasting")
 	w.runner.Crash(w.workers[1].ID)
 	log := w.captureLog() // it loads a task that waits, one whose worker is gone, and two that run
-	inDoubt := w.idle("lasting", waits)
+	inDoubt := w.firstIdle("lasting", waits)
 	w.play(cottonlanding.Second)
 	require.Len(t, logLines(t, log, downMessages...), 1)
 	down := logLines(t, log, downMessages...)[0]
@@ -158,9 +158,9 @@
 	require.Empty(t, logLines(t, log, againMessages...), "there is no room, and the others ran on")
 }
 
-// TestDowntimesBeginAndEndInTurn guards against lines that miss a downtime, or tell one twice: under each owner, the
+// TestDowntimeLogsAlternate guards against lines that miss a downtime, or tell one twice: under each owner, the
 // beginnings and ends that are told of a task alternate, and the last agrees with what runs in the end.
-func TestDowntimesBeginAndEndInTurn(t *testing.T) {
+func TestDowntimeLogsAlternate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
 		log := w.captureLog()
@@ -200,17 +200,17 @@
 		}
 		w.awaitAll("lasting", 6)
 		last := owners[len(owners)-1]
-		before := w.downsOf(last, "lasting", 6)
+		before := w.countDowntimes(last, "lasting", 6)
 		at := slices.IndexFunc(w.workers, func(info cottonlanding.WorkerInfo) bool { return w.runner.RunsOn(info.ID) > 0 })
 		lost := w.runner.RunsOn(w.workers[at].ID)
 		w.crash(at)
 		w.join()
 		w.awaitAll("lasting", 6)
-		require.Equal(t, before+lost, w.downsOf(last, "lasting", 6))
+		require.Equal(t, before+lost, w.countDowntimes(last, "lasting", 6))
 		for index := range 6 {
 			ref := cottonlanding.TaskRef{Workflow: "lasting", Index: index}
 			for number, owner := range owners {
-				down, again := told(t, owner, downMessages, ref), told(t, owner, againMessages, ref)
+				down, again := countLogged(t, owner, downMessages, ref), countLogged(t, owner, againMessages, ref)
 				require.Contains(t, []int{0, 1}, down-again, fmt.Sprintf("owner %d, %s", number, ref))
 				if number == len(owners)-1 {
 					require.Equal(t, down, again, ref.String())
@@ -220,9 +220,9 @@
 	})
 }
 
-// TestDelegatedTaskTellsItsDowntime guards against a downtime whose end can't be read where a task was delegated: its
+// TestDelegatedTaskLogsDowntime guards against a downtime whose end can't be read where a task was delegated: its
 // keeper and the cell that takes it both tell.
-func TestDelegatedTaskTellsItsDowntime(t *testing.T) {
+func TestDelegatedTaskLogsDowntime(t *testing.T) {
 	n := newNeighbours(t, 2, 2)
 	logs := []*bytes.Buffer{n.cells[0].captureLog(), n.cells[1].captureLog()}
 	n.turn(100)
@@ -246,8 +246,8 @@
 	n.turn(100)
 	for _, ref := range lost {
 		for cell, log := range logs {
-			require.Equal(t, 1, told(t, log, downMessages, ref), "cell %d", cell)
-			require.Equal(t, 1, told(t, log, againMessages, ref), "cell %d", cell)
+			require.Equal(t, 1, countLogged(t, log, downMessages, ref), "cell %d", cell)
+			require.Equal(t, 1, countLogged(t, log, againMessages, ref), "cell %d", cell)
 		}
 	}
 	taken := logLines(t, logs[1], downMessages...)
--- a/internal/workflow/planner/downspans.go
+++ b/internal/workflow/planner/downtimelimit.go
@@ -19,18 +19,18 @@
 func CheckDown(timing Timing, call, turn cottonlanding.Millis) error {
 	var faults []string
 	for _, chain := range waitChains(timing, call, turn) {
-		if chain.down > mostDown {
+		if chain.down > maxDowntime {
 			faults = append(faults, fmt.Sprintf("%s: %s", chain.name, chain.down))
 		}
 	}
-	if lookFails := busyPollWait + call; timing.Lease/startLeaseDivisor < lookFails {
-		faults = append(faults, fmt.Sprintf("a look fails after %s, and starts extend a lease from %s on", lookFails, timing.Lease/startLeaseDivisor))
+	if pollFailsAfter := busyPollWait + call; timing.Lease/startLeaseDivisor < pollFailsAfter {
+		faults = append(faults, fmt.Sprintf("a look fails after %s, and starts extend a lease from %s on", pollFailsAfter, timing.Lease/startLeaseDivisor))
 	}
-	if holdAfter > mostHeldBack {
-		faults = append(faults, fmt.Sprintf("a worker is kept after %s, and nothing holds a task back after %s", holdAfter, mostHeldBack))
+	if holdAfter > maxDeferral {
+		faults = append(faults, fmt.Sprintf("a worker is kept after %s, and nothing holds a task back after %s", holdAfter, maxDeferral))
 	}
 	if len(faults) > 0 {
-		return fmt.Errorf("lasting tasks may be down for longer than %s (%s)", mostDown, strings.Join(faults, "; "))
+		return fmt.Errorf("lasting tasks may be down for longer than %s (%s)", maxDowntime, strings.Join(faults, "; "))
 	}
 	return nil
 }
@@ -39,15 +39,15 @@
 	lost := withDriftMargin(timing.Lease) + turn
 	stopped := busyPollWait + turn // a stop was answered, and the next look shows that the run is ruled out
 	secondStart := call + orderRetryInterval
-	lastStart := max(lost+lastStartPatience, min(lost+startPatience, mostHeldBack))
+	lastStart := max(lost+urgentStartTimeout, min(lost+startTimeout, maxDeferral))
 	delegated := delegateAfter + 3*turn
 	return []waitChain{
 		{"a silent worker", lost},
 		{"a silent worker, then a start without an answer", lastStart + stopped},
 		{"a silent worker, then delegated", lost + delegated},
-		{"held back, then room is made", mostHeldBack + preemptionTimeout + turn},
+		{"held back, then room is made", maxDeferral + preemptionTimeout + turn},
 		{"placed on a worker that falls silent before the start", turn + busyPollWait + call + turn},
-		{"starts without an answer", turn + startPatience + stopped},
+		{"starts without an answer", turn + startTimeout + stopped},
 		{"starts and stops without an answer", turn + secondStart + withDriftMargin(timing.Lease) + cottonlanding.Millis(readingTolerance) + stopped},
 		{"starts that are late", turn + (maxLateStarts+1)*(orderRetryInterval+turn)},
 		{"delegated, returned and delegated again", turn + 2*delegated + returnAfter + turn},
--- a/internal/workflow/planner/guest.go
+++ b/internal/workflow/planner/guest.go
@@ -144,7 +144,7 @@
 	t.number, t.crashes, t.waitingSince, t.lastRunningAt = told.Number, told.Crashes, now, 0
 	t.stage.ready = true
 	t.takeCheckpoint(told, now)
-	c.recordGuestDown(t, now)
+	c.recordDelegatedDown(t, now)
 	c.markDirty(t.job)
 	c.reportedAt = 0
 	c.log.Info("guest task accepted", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.delegatedBy)
--- a/internal/workflow/planner/handover.go
+++ b/internal/workflow/planner/handover.go
@@ -32,7 +32,7 @@
 		return false // other cells take no workflow of a queue that was removed
 	}
 	waits := now-j.accepted >= moveAfter && !j.placed && !j.state.Final() && j.Schedule.Rounds == 0
-	if !waits || !stateFits(j.Workflow, widestLife) {
+	if !waits || !rowFits(j.Workflow, maxLifeBytes) {
 		return false // a cell whose workers have longer ids might refuse it
 	}
 	return j.persisted && c.dirty[j.ID] == nil && (c.inFlight == nil || !c.inFlight.includes(j.ID))
--- a/internal/workflow/planner/job.go
+++ b/internal/workflow/planner/job.go
@@ -241,7 +241,7 @@
 		done(err)
 		return
 	}
-	if err := c.checkState(workflow, queue); err != nil {
+	if err := c.checkRowFits(workflow, queue); err != nil {
 		done(err)
 		return
 	}
@@ -350,7 +350,7 @@
 	})
 	c.openJobs = slices.DeleteFunc(c.openJobs, func(other *job) bool { return other == j })
 	c.markDirty(j)
-	c.logs.ofEnd(state).Info(j.endedLine(), "Workflow", j.ID, "State", state, "Reason", reason, "After", now-j.accepted)
+	c.logs.forEnd(state).Info(j.endedLine(), "Workflow", j.ID, "State", state, "Reason", reason, "After", now-j.accepted)
 }
 
 // prune forgets workflows that were final for long enough, and what they have waited for.
--- a/internal/workflow/planner/lastingstarts_test.go
+++ b/internal/workflow/planner/lastingstarts_test.go
@@ -26,11 +26,11 @@
 	return ""
 }
 
-// TestPlacedRunLeavesALeasedWorkerThatFallsSilent: a run whose start had not gone out when its worker fell silent waited
+// TestUnstartedRunLeavesSilentWorker: a run whose start had not gone out when its worker fell silent waited
 // until the worker's lease had surely run out, though nothing could begin there and others had room.
-func TestPlacedRunLeavesALeasedWorkerThatFallsSilent(t *testing.T) {
+func TestUnstartedRunLeavesSilentWorker(t *testing.T) {
 	w := lastingWorld(t)
-	w.leaveLasting()
+	w.interruptLasting()
 	w.pollAll()
 	w.makePlan()
 	w.runner.Dark(w.plannedWorker("lasting"), true)
@@ -40,30 +40,30 @@
 }
 
 const (
-	// answerWithin is after how long an order counts as unanswered, lookEvery how often busy workers are looked at here.
-	answerWithin = cottonlanding.Second
-	lookEvery    = 850 * cottonlanding.Millis(1)
+	// orderTimeout is after how long an order counts as unanswered, lookEvery how often busy workers are looked at here.
+	orderTimeout = cottonlanding.Second
+	pollInterval = 850 * cottonlanding.Millis(1)
 )
 
-// deaf plays a cell one of whose workers answers looks and none of the orders of some verbs.
-type deaf struct {
+// unresponsiveWorld plays a cell one of whose workers answers looks and none of the orders of some verbs.
+type unresponsiveWorld struct {
 	*world
 	// worker is the one that is deaf, the first that is given a start once deafened.
 	worker cottonlanding.WorkerID
 	// unanswered are the verbs whose orders get no answer, err what becomes of them.
 	unanswered []planner.Verb
 	err        error
-	takes      cottonlanding.Millis
+	errorDelay cottonlanding.Millis
 	pending    []planner.Order
-	lookedAt   cottonlanding.Millis
+	polledAt   cottonlanding.Millis
 }
 
-// newDeaf returns a cell of which the worker that gets the next start answers no orders of some verbs.
-func newDeaf(w *world, verbs ...planner.Verb) *deaf {
-	return &deaf{world: w, unanswered: verbs, err: cottonlanding.ErrAmbiguous, takes: answerWithin}
+// newUnresponsiveWorld returns a cell of which the worker that gets the next start answers no orders of some verbs.
+func newUnresponsiveWorld(w *world, verbs ...planner.Verb) *unresponsiveWorld {
+	return &unresponsiveWorld{world: w, unanswered: verbs, err: cottonlanding.ErrAmbiguous, errorDelay: orderTimeout}
 }
 
-func (d *deaf) hears(order planner.Order) bool {
+func (d *unresponsiveWorld) answers(order planner.Order) bool {
 	if d.worker == "" && order.Verb == planner.VerbStart {
 		d.worker = order.Worker.Life.Worker
 	}
@@ -71,12 +71,12 @@
 }
 
 // turn lets a turn pass. Orders that aren't heard are sent once they have got no answer.
-func (d *deaf) turn() {
+func (d *unresponsiveWorld) turn() {
 	d.now += turnSpan
 	d.commit()
 	for _, order := range d.cell.Orders(d.now) {
 		order.SentAt = d.now
-		if !d.hears(order) {
+		if !d.answers(order) {
 			d.pending = append(d.pending, order)
 			continue
 		}
@@ -84,7 +84,7 @@
 		d.cell.OrderAnswered(order, reading, err, d.now)
 	}
 	d.pending = slices.DeleteFunc(d.pending, func(order planner.Order) bool {
-		if d.now-order.SentAt < d.takes {
+		if d.now-order.SentAt < d.errorDelay {
 			return false
 		}
 		if errors.Is(d.err, cottonlanding.ErrAmbiguous) {
@@ -93,14 +93,14 @@
 		d.cell.OrderAnswered(order, 0, d.err, d.now)
 		return true
 	})
-	if d.now-d.lookedAt >= lookEvery {
-		d.lookedAt = d.now
+	if d.now-d.polledAt >= pollInterval {
+		d.polledAt = d.now
 		d.pollAll()
 	}
 }
 
 // downFor lets turns pass until a task of a workflow runs, or much longer than it may be down.
-func (d *deaf) downFor(id cottonlanding.WorkflowID) cottonlanding.Millis {
+func (d *unresponsiveWorld) downFor(id cottonlanding.WorkflowID) cottonlanding.Millis {
 	since := d.now
 	for d.now-since < 3*startWithin && !d.runs(id, 0) {
 		d.turn()
@@ -108,8 +108,8 @@
 	return d.now - since
 }
 
-// leaveLasting has the worker of the only task of "lasting" leave, and plays until its run has ended.
-func (w *world) leaveLasting() {
+// interruptLasting has the worker of the only task of "lasting" leave, and plays until its run has ended.
+func (w *world) interruptLasting() {
 	at := slices.IndexFunc(w.workers, func(info cottonlanding.WorkerInfo) bool { return w.runner.RunsOn(info.ID) == 2 })
 	w.workers[at].State = cottonlanding.Leaving
 	w.relist()
@@ -132,8 +132,8 @@
 	return w
 }
 
-// requireOnce sends what came late, and checks that nothing ran twice.
-func (d *deaf) requireOnce() {
+// requireSingleRuns sends what came late, and checks that nothing ran twice.
+func (d *unresponsiveWorld) requireSingleRuns() {
 	d.unanswered = nil
 	for _, order := range d.late {
 		_, _ = d.send(order)
@@ -144,62 +144,62 @@
 	require.Empty(d.t, d.runner.Violations())
 }
 
-// TestLastingTaskLeavesAWorkerThatLeavesItsStartsUnanswered: starts to a worker that answered looks and didn't list the run
+// TestTaskLeavesWorkerThatIgnoresStarts: starts to a worker that answered looks and didn't list the run
 // were repeated without end, while others had room.
-func TestLastingTaskLeavesAWorkerThatLeavesItsStartsUnanswered(t *testing.T) {
+func TestTaskLeavesWorkerThatIgnoresStarts(t *testing.T) {
 	w := lastingWorld(t)
-	w.leaveLasting()
-	d := newDeaf(w, planner.VerbStart)
+	w.interruptLasting()
+	d := newUnresponsiveWorld(w, planner.VerbStart)
 	require.Less(t, d.downFor("lasting"), startWithin)
-	d.requireOnce()
+	d.requireSingleRuns()
 }
 
-// TestLostLastingTaskLeavesAWorkerThatLeavesItsStartsUnanswered is the same for a task that was lost with a silent worker
+// TestLostTaskLeavesWorkerThatIgnoresStarts is the same for a task that was lost with a silent worker
 // before, so that little of its time is left.
-func TestLostLastingTaskLeavesAWorkerThatLeavesItsStartsUnanswered(t *testing.T) {
+func TestLostTaskLeavesWorkerThatIgnoresStarts(t *testing.T) {
 	w := lastingWorld(t)
 	at := slices.IndexFunc(w.workers, func(info cottonlanding.WorkerInfo) bool { return w.runner.RunsOn(info.ID) == 2 })
 	w.runner.Crash(w.workers[at].ID)
-	d := newDeaf(w, planner.VerbStart)
+	d := newUnresponsiveWorld(w, planner.VerbStart)
 	require.Less(t, d.downFor("lasting"), startWithin)
-	d.requireOnce()
+	d.requireSingleRuns()
 }
 
-// TestLastingTaskLeavesAWorkerThatAnswersNoOrder: the task was tied for good to a worker that answered looks and
+// TestTaskLeavesWorkerThatIgnoresOrders: the task was tied for good to a worker that answered looks and
 // neither starts nor stops.
-func TestLastingTaskLeavesAWorkerThatAnswersNoOrder(t *testing.T) {
+func TestTaskLeavesWorkerThatIgnoresOrders(t *testing.T) {
 	w := lastingWorld(t)
-	w.leaveLasting()
-	d := newDeaf(w, planner.VerbStart, planner.VerbStop)
+	w.interruptLasting()
+	d := newUnresponsiveWorld(w, planner.VerbStart, planner.VerbStop)
 	require.Less(t, d.downFor("lasting"), startWithin)
-	d.requireOnce()
+	d.requireSingleRuns()
 }
 
-// TestTaskLeavesAWorkerThatFindsItsStartsLate: starts that a worker refused as too late were repeated to it without end,
+// TestTaskLeavesWorkerThatRefusesLateStarts: starts that a worker refused as too late were repeated to it without end,
 // those of short tasks as well, which nothing else moves.
-func TestTaskLeavesAWorkerThatFindsItsStartsLate(t *testing.T) {
+func TestTaskLeavesWorkerThatRefusesLateStarts(t *testing.T) {
 	for _, id := range []cottonlanding.WorkflowID{"lasting", "slow"} {
 		t.Run(string(id), func(t *testing.T) {
 			w := lastingWorld(t)
-			w.leaveLasting()
+			w.interruptLasting()
 			if id == "slow" {
 				w.cell.Cancel("lasting", w.now, func(error) {})
 				w.submit("slow", "Urgent", short(3000))
 			}
-			d := newDeaf(w, planner.VerbStart)
-			d.err, d.takes = cottonlanding.ErrLate, 0
+			d := newUnresponsiveWorld(w, planner.VerbStart)
+			d.err, d.errorDelay = cottonlanding.ErrLate, 0
 			require.Less(t, d.downFor(id), 2*cottonlanding.Second)
-			d.requireOnce()
+			d.requireSingleRuns()
 		})
 	}
 }
 
-// TestStartThatIsLateOnceIsRepeated: the clock that comes with the answer makes the next start one in time.
-func TestStartThatIsLateOnceIsRepeated(t *testing.T) {
+// TestLateStartIsRetried: the clock that comes with the answer makes the next start one in time.
+func TestLateStartIsRetried(t *testing.T) {
 	w := lastingWorld(t)
-	w.leaveLasting()
-	d := newDeaf(w, planner.VerbStart)
-	d.err, d.takes = cottonlanding.ErrLate, 0
+	w.interruptLasting()
+	d := newUnresponsiveWorld(w, planner.VerbStart)
+	d.err, d.errorDelay = cottonlanding.ErrLate, 0
 	for d.worker == "" {
 		d.turn()
 	}
@@ -211,13 +211,13 @@
 	require.Equal(t, 2, w.runner.RunsOn(w.workers[at].ID))
 }
 
-// TestStartThatWaitsBehindOthersKeepsItsWorker: a start that hasn't left a busy owner for seconds says nothing of its worker. To
+// TestQueuedStartKeepsItsWorker: a start that hasn't left a busy owner for seconds says nothing of its worker. To
 // move the task each time it waits would be without end.
-func TestStartThatWaitsBehindOthersKeepsItsWorker(t *testing.T) {
+func TestQueuedStartKeepsItsWorker(t *testing.T) {
 	w := lastingWorld(t)
-	w.leaveLasting()
-	d := newDeaf(w, planner.VerbStart)
-	d.takes = startWithin
+	w.interruptLasting()
+	d := newUnresponsiveWorld(w, planner.VerbStart)
+	d.errorDelay = startWithin
 	for range 80 {
 		d.turn()
 	}
--- a/internal/workflow/planner/lastingwaits_test.go
+++ b/internal/workflow/planner/lastingwaits_test.go
@@ -12,15 +12,15 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// fewLossesLeft is as many losses as a task has that is given up at the next one.
-const fewLossesLeft = 4
+// lossesBeforeFailure is as many losses as a task has that is given up at the next one.
+const lossesBeforeFailure = 4
 
-// seenOnce is how long the runs of suspects go on here before something happens: too short for them to have
+// shortRun is how long the runs of suspects go on here before something happens: too short for them to have
 // outlived a crash.
-const seenOnce = 150 * cottonlanding.Millis(1)
+const shortRun = 150 * cottonlanding.Millis(1)
 
-// silenceEvery is after how many turns another worker falls silent, so that there always is one that just has.
-const silenceEvery = 15
+// turnsPerSilence is after how many turns another worker falls silent, so that there always is one that just has.
+const turnsPerSilence = 15
 
 // setLosses has the first task of a workflow be a suspect, for another owner.
 func (w *world) setLosses(id cottonlanding.WorkflowID, losses int) {
@@ -50,10 +50,10 @@
 	w.play(cottonlanding.Second)
 	w.submit("lasting", "Urgent", lasting(1, 0, 6000))
 	w.commit()
-	w.setLosses("lasting", fewLossesLeft)
+	w.setLosses("lasting", lossesBeforeFailure)
 	w.pollAll()
 	w.playUntilStarted()
-	w.play(seenOnce)
+	w.play(shortRun)
 	at = slices.IndexFunc(w.workers, func(info cottonlanding.WorkerInfo) bool { return w.runner.RunsOn(info.ID) > 0 })
 	require.GreaterOrEqual(t, at, 0)
 	return w, at
@@ -73,9 +73,9 @@
 	return w.now - since
 }
 
-// TestLastSuspectRunsAgainInTime: a lasting task that is given up at the next loss waited for news of its last worker
+// TestTaskWithOneLossLeftRestartsInTime: a lasting task that is given up at the next loss waited for news of its last worker
 // for 15 s from when its lease had run out, beside workers that had room: it was down for three times as long as it may be.
-func TestLastSuspectRunsAgainInTime(t *testing.T) {
+func TestTaskWithOneLossLeftRestartsInTime(t *testing.T) {
 	w, at := suspectWorld(t)
 	w.runner.Dark(w.workers[at].ID, true)
 	for w.runner.Lasting() > 0 {
@@ -86,9 +86,9 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestSuspectRunsAgainInTimeAmongSilences: the same task waited for 15 s for an instant at which no worker had
+// TestSuspectRestartsAmongSilentWorkers: the same task waited for 15 s for an instant at which no worker had
 // just fallen silent.
-func TestSuspectRunsAgainInTimeAmongSilences(t *testing.T) {
+func TestSuspectRestartsAmongSilentWorkers(t *testing.T) {
 	w, at := suspectWorld(t)
 	next := 0
 	silence := func() {
@@ -103,7 +103,7 @@
 	w.relist()
 	turns := 0
 	down := w.downFor("lasting", 1, func() {
-		if turns++; turns%silenceEvery == 0 && next < len(w.workers)-1 {
+		if turns++; turns%turnsPerSilence == 0 && next < len(w.workers)-1 {
 			silence()
 		}
 	})
@@ -111,9 +111,9 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestInterruptedTaskTakesRoomThatIsKeptInVain: a worker was kept time and again for a lasting task that
+// TestInterruptedTaskTakesUselessHold: a worker was kept time and again for a lasting task that
 // never had room there, and another one that was interrupted later and had room there waited for as long.
-func TestInterruptedTaskTakesRoomThatIsKeptInVain(t *testing.T) {
+func TestInterruptedTaskTakesUselessHold(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.submit("lasting", "Urgent", lasting(3, 1, 5300))
 	w.play(cottonlanding.Second)
@@ -134,8 +134,8 @@
 	require.Less(t, w.downFor("least", 1, func() {}), startWithin, "the room is kept for a task that doesn't fit there")
 }
 
-// streamed returns a function that hands in a workflow of nine short tasks, which take up to 1.6 s, every so many turns.
-func (w *world) streamed(turns int) func() {
+// shortTaskStream returns a function that hands in a workflow of nine short tasks, which take up to 1.6 s, every so many turns.
+func (w *world) shortTaskStream(turns int) func() {
 	step := short(2000)
 	step.Tasks = 9
 	turn := 0
@@ -146,17 +146,17 @@
 	}
 }
 
-// playBeside lets turns pass with something happening in each.
-func (w *world) playBeside(span cottonlanding.Millis, meanwhile func()) {
+// playWith lets turns pass with something happening in each.
+func (w *world) playWith(span cottonlanding.Millis, meanwhile func()) {
 	for end := w.now + span; w.now < end; {
 		w.turn(turnSpan)
 		meanwhile()
 	}
 }
 
-// TestLostTaskKeepsAWorkerInTime: of a task that was lost with a silent worker, the time until a worker was kept for it
+// TestLostTaskHoldsWorkerInTime: of a task that was lost with a silent worker, the time until a worker was kept for it
 // counted from when its lease had run out, so that it was down for over 11 s among short tasks that left room for two of it.
-func TestLostTaskKeepsAWorkerInTime(t *testing.T) {
+func TestLostTaskHoldsWorkerInTime(t *testing.T) {
 	w := newSpreadWorld(t)
 	for range 5 {
 		w.addWorker()
@@ -166,16 +166,16 @@
 	w.submit("lasting", "Urgent", lasting(1, 0, 7000))
 	w.play(cottonlanding.Second)
 	at := slices.IndexFunc(w.workers, func(info cottonlanding.WorkerInfo) bool { return w.runner.RunsOn(info.ID) > 0 })
-	stream := w.streamed(7)
-	w.playBeside(3*cottonlanding.Second, stream)
+	stream := w.shortTaskStream(7)
+	w.playWith(3*cottonlanding.Second, stream)
 	w.runner.Crash(w.workers[at].ID)
 	require.Less(t, w.downFor("lasting", 1, stream), startWithin)
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestManyInterruptedTasksRunAgainInTime: one worker at a time was kept for all lasting tasks of a cell, so that of many
+// TestManyInterruptedTasksRestartInTime: one worker at a time was kept for all lasting tasks of a cell, so that of many
 // that were interrupted at once among short tasks the last ones were down for too long.
-func TestManyInterruptedTasksRunAgainInTime(t *testing.T) {
+func TestManyInterruptedTasksRestartInTime(t *testing.T) {
 	const interrupted = 12
 	w := newSpreadWorld(t)
 	for range 43 {
@@ -192,8 +192,8 @@
 			leaving = append(leaving, at)
 		}
 	}
-	stream := w.streamed(2)
-	w.playBeside(3*cottonlanding.Second, stream)
+	stream := w.shortTaskStream(2)
+	w.playWith(3*cottonlanding.Second, stream)
 	for _, at := range leaving {
 		w.workers[at].State = cottonlanding.Leaving
 	}
@@ -218,11 +218,11 @@
 	}
 }
 
-// TestStartsDontHoldUpLossOfASilentWorker: each start that went to a worker until a look at it had failed, two seconds
+// TestSilentWorkerIsLostDespiteStarts: each start that went to a worker until a look at it had failed, two seconds
 // after its last answer, extended the lease by which the runs of the owner there surely end, so that a lasting task on
 // a worker that gets starts all the time was known to be lost as much later.
-func TestStartsDontHoldUpLossOfASilentWorker(t *testing.T) {
-	const lookFailsAfter = 1800 * cottonlanding.Millis(1)
+func TestSilentWorkerIsLostDespiteStarts(t *testing.T) {
+	const pollFailsAfter = 1800 * cottonlanding.Millis(1)
 	w := lastingWorld(t)
 	at := slices.IndexFunc(w.workers, func(info cottonlanding.WorkerInfo) bool { return w.runner.RunsOn(info.ID) == 2 })
 	silent := w.workers[at].ID
@@ -234,7 +234,7 @@
 	crashed := w.now
 	unanswered, _ := w.cell.NextPoll(silent, w.now)
 	require.Positive(t, unanswered.Look.LeaseUntil)
-	for number := 0; w.now-crashed < lookFailsAfter; number++ {
+	for number := 0; w.now-crashed < pollFailsAfter; number++ {
 		step := short(100)
 		step.Requires = "Silent"
 		w.submit(cottonlanding.WorkflowID(fmt.Sprintf("b%d", number)), "Urgent", step)
@@ -253,9 +253,9 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestFewWorkersAreKeptWhereLastingTasksFillTheCell: of a cell full of lasting tasks a quarter of the workers was kept for those that were
+// TestFewWorkersAreHeldInFullCell: of a cell full of lasting tasks a quarter of the workers was kept for those that were
 // interrupted, and their room was missing to smaller ones here and in other cells.
-func TestFewWorkersAreKeptWhereLastingTasksFillTheCell(t *testing.T) {
+func TestFewWorkersAreHeldInFullCell(t *testing.T) {
 	const filled, interrupted = 44, 8
 	var leaving []int
 	w := newSpreadWorld(t)
@@ -281,14 +281,14 @@
 		step.Tasks = 9
 		w.submit(cottonlanding.WorkflowID(fmt.Sprintf("b%d", number)), "Urgent", step)
 	}
-	w.playBeside(3*cottonlanding.Second, stream)
+	w.playWith(3*cottonlanding.Second, stream)
 	log := w.captureLog()
-	w.playBeside(cottonlanding.Second, stream)
+	w.playWith(cottonlanding.Second, stream)
 	for _, at := range leaving {
 		w.workers[at].State = cottonlanding.Leaving
 	}
 	w.relist()
-	w.playBeside(6*cottonlanding.Second, stream)
+	w.playWith(6*cottonlanding.Second, stream)
 	atOnce := 0
 	for _, line := range logLines(t, log, "capacity reserved") {
 		if line["Waited"].(float64) < 5200 {
--- a/internal/workflow/planner/latestarts_test.go
+++ b/internal/workflow/planner/latestarts_test.go
@@ -36,7 +36,7 @@
 		p.cell.OrderAnswered(order, reading, err, p.now)
 	}
 	for _, one := range p.pending {
-		if p.now-one.order.SentAt == callTime {
+		if p.now-one.order.SentAt == callTimeout {
 			p.cell.OrderAnswered(one.order, 0, cottonlanding.ErrAmbiguous, p.now)
 		}
 	}
@@ -53,7 +53,7 @@
 	for _, late := range []cottonlanding.Millis{1200, 2000, 3000} {
 		t.Run(late.String(), func(t *testing.T) {
 			p := &lateStartWorld{world: newLastingWorld(t), late: late}
-			p.lose("w1")
+			p.crashForGood("w1")
 			lost := p.now
 			for p.runner.Lasting() < 4 || p.now-lost < cottonlanding.Second {
 				require.Less(t, p.now-lost, runsAgainWithin+late, "what is late is no fault of the owner")
@@ -94,7 +94,7 @@
 	w.relist()
 	w.runner.Dark(taken, true)
 	w.play(2 * cottonlanding.Second)
-	w.takeOverFrom(w.now + ownerSeenGone)
+	w.takeOverFrom(w.now + ownerGoneAfter)
 	for range 400 {
 		w.turn(turnSpan)
 		require.Empty(t, w.runner.Violations())
@@ -128,7 +128,7 @@
 			for range 40 {
 				play()
 			}
-			w.lose(at)
+			w.crashForGood(at)
 			lost := w.now
 			for w.runner.Lasting() < 1 || w.now-lost < 500 {
 				require.LessOrEqual(t, w.now-lost, runsAgainWithin)
--- a/internal/workflow/planner/leasebounds.go
+++ b/internal/workflow/planner/leasebounds.go
@@ -23,15 +23,15 @@
 // a row is used only if all owners since know of it.
 
 const (
-	// boundAfter is how long a worker is silent before its bound is written: a look that fails once
+	// boundDelay is how long a worker is silent before its bound is written: a look that fails once
 	// costs no writes, and holds up no renewal.
-	boundAfter = pollRetryInterval
-	// mostBounds is how many bounds are written at most. Later owners wait for the others' whole leases.
-	mostBounds = 400
-	// mostBoundBytes bounds the row.
-	mostBoundBytes = 32 * 1024
-	// boundBytes is what a bound takes besides the worker's id.
-	boundBytes = 24
+	boundDelay = pollRetryInterval
+	// maxBounds is how many bounds are written at most. Later owners wait for the others' whole leases.
+	maxBounds = 400
+	// maxBoundsBytes bounds the row.
+	maxBoundsBytes = 32 * 1024
+	// boundOverheadBytes is what a bound takes besides the worker's id.
+	boundOverheadBytes = 24
 )
 
 // boundsRow is the value of the row of lease bounds.
@@ -45,16 +45,16 @@
 	Older cottonlanding.TableInstant `json:",omitempty"`
 	Until map[cottonlanding.WorkerID]cottonlanding.TableInstant
 	// Down is since when lasting tasks are down.
-	Down downSpans `json:",omitempty"`
+	Down downInstants `json:",omitempty"`
 }
 
 // leaseBounds are the bounds that are written.
 type leaseBounds struct {
 	// clock is the newest reading of the table's clock, nil while there is none.
 	clock *cottonlanding.TableReading
-	// kept is what the row holds, planned what it will hold once the plan under way is committed, nil if
+	// stored is what the row holds, planned what it will hold once the plan under way is committed, nil if
 	// that leaves it as it is.
-	kept, planned map[cottonlanding.WorkerID]cottonlanding.TableInstant
+	stored, planned map[cottonlanding.WorkerID]cottonlanding.TableInstant
 	// version is that of the row, epoch that of the owner which wrote it.
 	version cottonlanding.Version
 	epoch   cottonlanding.Epoch
@@ -62,13 +62,13 @@
 	// until when this owner surely owns the cell, zero if it wasn't told.
 	older, ownedUntil cottonlanding.Millis
 	// down is what the row holds of tasks that are down.
-	down downRow
+	down downRecord
 	// tableSlow says that commits take long: a bound couldn't be taken off in time for the next lease.
 	tableSlow bool
-	// foreign is what the row holds if that can't be used here; unread says that it isn't known, so that it may be any
+	// unusable is what the row holds if that can't be used here; unread says that it isn't known, so that it may be any
 	// worker's bound.
-	foreign map[cottonlanding.WorkerID]cottonlanding.TableInstant
-	unread  bool
+	unusable   map[cottonlanding.WorkerID]cottonlanding.TableInstant
+	unreadable bool
 }
 
 // LeaseBoundsKey names the row that holds the lease bounds of a cell.
@@ -104,14 +104,14 @@
 // mayOutlast reports whether leases on a worker may last for longer than one that is granted now, since another life of it
 // has just taken over. Should it end as well, its tasks would have to wait for that.
 func (c *Cell) mayOutlast(w *worker, now cottonlanding.Millis) bool {
-	return w.leaseBound > now+withDriftMargin(c.timing.longestSpan())
+	return w.leaseBound > now+withDriftMargin(c.timing.maxLeaseSpan())
 }
 
-// longestSpan is how long before its end the clock of a worker was read at most by which a lease is reckoned.
-func (t Timing) longestSpan() cottonlanding.Millis { return t.Lease + maxAnswerAge }
+// maxLeaseSpan is how long before its end the clock of a worker was read at most by which a lease is reckoned.
+func (t Timing) maxLeaseSpan() cottonlanding.Millis { return t.Lease + maxAnswerAge }
 
-// ownersBound returns the instant by which the leases of all owners before have ended.
-func (c *Cell) ownersBound() cottonlanding.Millis {
+// earlierOwnersBound returns the instant by which the leases of all owners before have ended.
+func (c *Cell) earlierOwnersBound() cottonlanding.Millis {
 	if c.bounds.older > 0 {
 		return c.bounds.older
 	}
@@ -124,61 +124,61 @@
 	var written boundsRow
 	c.bounds.version = row.Version
 	if err := json.Unmarshal(row.Value, &written); err != nil {
-		c.bounds.unread = true
+		c.bounds.unreadable = true
 		return fmt.Errorf("row %s: %w", row.Key, err)
 	}
 	if c.bounds.clock != nil {
-		c.inheritDown(written.Down, now)
+		c.loadDownRecord(written.Down, now)
 	}
-	if !c.boundsHold(written, now) {
-		c.bounds.foreign = written.Until
+	if !c.boundsUsable(written, now) {
+		c.bounds.unusable = written.Until
 		c.log.Info("lease bounds not used", "Workers", len(written.Until), "Of", written.Epoch, "Epoch", c.setup.Epoch, "ClockKnown", c.bounds.clock != nil)
 		return nil
 	}
-	c.bounds.kept, c.bounds.epoch = written.Until, written.Epoch
-	c.inheritOlder(written)
+	c.bounds.stored, c.bounds.epoch = written.Until, written.Epoch
+	c.inheritOwnersBound(written)
 	for _, w := range c.sortedWorkers() {
-		w.leaseBound = max(now, c.ownersBound()+c.nextLifeSpan(w))
+		w.leaseBound = max(now, c.earlierOwnersBound()+c.nextLifeExtension(w))
 		c.inheritBound(w, now)
 	}
 	return nil
 }
 
-// boundsHold reports whether bounds can be used: all owners since have kept to them, and the table's clock has gone
+// boundsUsable reports whether bounds can be used: all owners since have kept to them, and the table's clock has gone
 // on.
-func (c *Cell) boundsHold(written boundsRow, now cottonlanding.Millis) bool {
+func (c *Cell) boundsUsable(written boundsRow, now cottonlanding.Millis) bool {
 	kept := c.setup.BoundsKeptSince > 0 && written.Epoch >= c.setup.BoundsKeptSince
 	return c.bounds.clock != nil && kept && c.bounds.clock.Latest(now) >= written.Written
 }
 
-// inheritOlder works out when the leases of all owners before have ended, from what the last of them has written.
-func (c *Cell) inheritOlder(written boundsRow) {
+// inheritOwnersBound works out when the leases of all owners before have ended, from what the last of them has written.
+func (c *Cell) inheritOwnersBound(written boundsRow) {
 	if written.Older == 0 || c.setup.BeforeOwnedUntil == 0 {
 		return
 	}
-	itsOwn := c.setup.BeforeOwnedUntil + c.timing.MaxLeasePastOwnership + c.timing.longestSpan()/driftDivisor + leaseMargin
+	itsOwn := c.setup.BeforeOwnedUntil + c.timing.MaxLeasePastOwnership + c.timing.maxLeaseSpan()/driftDivisor + leaseMargin
 	c.bounds.older = max(itsOwn, c.bounds.clock.Until(written.Older))
 }
 
 // inheritBound takes over the bound that is written of a worker.
 func (c *Cell) inheritBound(w *worker, now cottonlanding.Millis) {
-	shown, found := c.bounds.kept[w.info.ID]
+	shown, found := c.bounds.stored[w.info.ID]
 	if !found {
 		return
 	}
-	before, until := w.leaseBound, c.bounds.clock.Until(shown)+c.nextLifeSpan(w)
+	before, until := w.leaseBound, c.bounds.clock.Until(shown)+c.nextLifeExtension(w)
 	w.leaseBound = min(before, max(now, until))
-	c.inheritSilence(w, until-c.nextLifeSpan(w)-withDriftMargin(c.timing.Lease))
+	c.inheritSilentSince(w, until-c.nextLifeExtension(w)-withDriftMargin(c.timing.Lease))
 	if w.runs.size() == 0 {
 		return
 	}
 	c.log.Info("lease bound taken over", "Worker", w.info.ID, "Runs", w.runs.size(), "Left", w.leaseBound-now, "Instead", before-now)
 }
 
-// nextLifeSpan returns by how much longer leases on a worker may last because its entry tells of another life than those on which
+// nextLifeExtension returns by how much longer leases on a worker may last because its entry tells of another life than those on which
 // its runs were placed: that one may have taken a start that got no answer. It reckons the lease by its own clock, and cuts it to
 // the longest.
-func (c *Cell) nextLifeSpan(w *worker) cottonlanding.Millis {
+func (c *Cell) nextLifeExtension(w *worker) cottonlanding.Millis {
 	if slices.ContainsFunc(w.runs.all(), func(r *run) bool { return r.born.IsOtherThan(w.info.Born) }) {
 		return max(0, c.timing.MaxLease-c.timing.Lease)
 	}
@@ -187,26 +187,26 @@
 
 // has reports whether a bound of the worker is written, or perhaps.
 func (b *leaseBounds) has(id cottonlanding.WorkerID) bool {
-	_, kept := b.kept[id]
+	_, stored := b.stored[id]
 	_, planned := b.planned[id]
-	_, foreign := b.foreign[id]
-	return b.unread || kept || planned || foreign
+	_, unusable := b.unusable[id]
+	return b.unreadable || stored || planned || unusable
 }
 
-// staysSilent reports whether the worker has given this owner no answer, or none lately.
-func (w *worker) staysSilent() bool { return w.lastAnswerAt == 0 || w.pollFailed }
+// isUnresponsive reports whether the worker has given this owner no answer, or none lately.
+func (w *worker) isUnresponsive() bool { return w.lastAnswerAt == 0 || w.pollFailed }
 
-// silentForLong reports whether the worker has given this owner no answer for so long that its bound is
+// needsBound reports whether the worker has given this owner no answer for so long that its bound is
 // written. One that is neither listed nor ever answered is not even asked.
-func (w *worker) silentForLong(now cottonlanding.Millis) bool {
+func (w *worker) needsBound(now cottonlanding.Millis) bool {
 	if !w.listed && w.lastAnswerAt == 0 {
 		return true
 	}
-	return w.pollFailed && (w.lastAnswerAt == 0 || now-w.pollFailedSince >= boundAfter)
+	return w.pollFailed && (w.lastAnswerAt == 0 || now-w.pollFailedSince >= boundDelay)
 }
 
-// boundsWanted returns the bounds that should be written.
-func (c *Cell) boundsWanted(now cottonlanding.Millis) map[cottonlanding.WorkerID]cottonlanding.TableInstant {
+// requiredBounds returns the bounds that should be written.
+func (c *Cell) requiredBounds(now cottonlanding.Millis) map[cottonlanding.WorkerID]cottonlanding.TableInstant {
 	out := make(map[cottonlanding.WorkerID]cottonlanding.TableInstant)
 	if c.bounds.clock == nil {
 		return out
@@ -214,16 +214,16 @@
 	size := 0
 	for _, w := range c.sortedWorkers() {
 		id := w.info.ID
-		shown, kept := c.bounds.kept[id]
-		isNew := !kept && w.silentForLong(now) && !c.bounds.tableSlow
-		if w.runs.size() == 0 || !isNew && !(kept && w.staysSilent()) {
+		shown, stored := c.bounds.stored[id]
+		isNew := !stored && w.needsBound(now) && !c.bounds.tableSlow
+		if w.runs.size() == 0 || !isNew && !(stored && w.isUnresponsive()) {
 			continue
 		}
-		size += len(id) + boundBytes
-		if len(out) >= mostBounds || size > mostBoundBytes {
+		size += len(id) + boundOverheadBytes
+		if len(out) >= maxBounds || size > maxBoundsBytes {
 			return out
 		}
-		if kept && c.bounds.clock.Until(shown) >= w.leaseBound {
+		if stored && c.bounds.clock.Until(shown) >= w.leaseBound {
 			out[id] = shown
 			continue
 		}
@@ -232,37 +232,37 @@
 	return out
 }
 
-// boundsDue returns the bounds to write, and whether they differ from what is written.
-func (c *Cell) boundsDue(now cottonlanding.Millis) (map[cottonlanding.WorkerID]cottonlanding.TableInstant, bool) {
-	wanted := c.boundsWanted(now)
-	hasRow := c.bounds.clock != nil || len(c.bounds.kept) > 0
+// boundsChanged returns the bounds to write, and whether they differ from what is written.
+func (c *Cell) boundsChanged(now cottonlanding.Millis) (map[cottonlanding.WorkerID]cottonlanding.TableInstant, bool) {
+	required := c.requiredBounds(now)
+	hasRow := c.bounds.clock != nil || len(c.bounds.stored) > 0
 	isAnothers := hasRow && c.bounds.epoch != c.setup.Epoch
-	return wanted, c.downDue(now) || c.bounds.unread || len(c.bounds.foreign) > 0 || isAnothers || !maps.Equal(wanted, c.bounds.kept)
+	return required, c.downRecordChanged(now) || c.bounds.unreadable || len(c.bounds.unusable) > 0 || isAnothers || !maps.Equal(required, c.bounds.stored)
 }
 
 // planBounds adds the lease bounds to a plan if they have changed.
 func (c *Cell) planBounds(plan *Plan, now cottonlanding.Millis) {
-	wanted, due := c.boundsDue(now)
+	required, due := c.boundsChanged(now)
 	if !due {
 		return
 	}
-	c.bounds.planned, plan.bounds = wanted, true
-	c.bounds.down.planned = c.downWanted(now)
-	row := boundsRow{Epoch: c.setup.Epoch, Until: wanted, Down: c.bounds.down.planned}
+	c.bounds.planned, plan.bounds = required, true
+	c.bounds.down.planned = c.requiredDownRecord(now)
+	row := boundsRow{Epoch: c.setup.Epoch, Until: required, Down: c.bounds.down.planned}
 	if c.bounds.clock != nil {
 		row.Written = c.bounds.clock.Shown
 		if c.capsLeases() {
-			row.Older = c.bounds.clock.Latest(c.ownersBound())
+			row.Older = c.bounds.clock.Latest(c.earlierOwnersBound())
 		}
 	}
 	plan.add(cottonlanding.Write{Key: LeaseBoundsKey(c.setup.Partition), Expect: c.bounds.version, Value: encode(row), Unchecked: true})
-	c.log.Info("lease bounds written", "Workers", len(wanted), "Before", len(c.bounds.kept), "TasksDown", len(row.Down))
+	c.log.Info("lease bounds written", "Workers", len(required), "Before", len(c.bounds.stored), "TasksDown", len(row.Down))
 }
 
 // recordBounds takes in that the planned bounds are written.
 func (c *Cell) recordBounds(version cottonlanding.Version) {
-	c.bounds.kept, c.bounds.planned = c.bounds.planned, nil
-	c.bounds.foreign, c.bounds.unread = nil, false
-	c.bounds.down.kept = c.bounds.down.planned
+	c.bounds.stored, c.bounds.planned = c.bounds.planned, nil
+	c.bounds.unusable, c.bounds.unreadable = nil, false
+	c.bounds.down.stored = c.bounds.down.planned
 	c.bounds.version, c.bounds.epoch = version, c.setup.Epoch
 }
--- a/internal/workflow/planner/leasebounds_test.go
+++ b/internal/workflow/planner/leasebounds_test.go
@@ -15,22 +15,22 @@
 const (
 	// ownerTimeToLive is how long an owner surely owns its cell after a beat, as in service.
 	ownerTimeToLive = 1200 * cottonlanding.Millis(1)
-	// ownerSeenGone is how long after its last beat an owner surely renews nothing any more: its time to live
+	// ownerGoneAfter is how long after its last beat an owner surely renews nothing any more: its time to live
 	// and the grace of one that has lost the table.
-	ownerSeenGone = ownerTimeToLive + 2*cottonlanding.Second
+	ownerGoneAfter = ownerTimeToLive + 2*cottonlanding.Second
 )
 
 // newOwnedWorld returns a world with the spans of service whose owners know until when they own the cell.
 func newOwnedWorld(t require.TestingT) *world {
 	w := newSpreadWorld(t)
-	w.timing.CutOffGrace, w.timing.MaxLeasePastOwnership = ownerSeenGone-ownerTimeToLive, w.timing.Lease+cottonlanding.Second
+	w.timing.CutOffGrace, w.timing.MaxLeasePastOwnership = ownerGoneAfter-ownerTimeToLive, w.timing.Lease+cottonlanding.Second
 	w.ownedFor = ownerTimeToLive
 	w.takeOver()
 	return w
 }
 
-// lose crashes a worker for good. Its entry goes some seconds later.
-func (w *world) lose(id cottonlanding.WorkerID) { w.runner.Crash(id) }
+// crashForGood crashes a worker for good. Its entry goes some seconds later.
+func (w *world) crashForGood(id cottonlanding.WorkerID) { w.runner.Crash(id) }
 
 // delist takes a worker off the list.
 func (w *world) delist(id cottonlanding.WorkerID) {
@@ -38,22 +38,22 @@
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 }
 
-// playLost plays a worker that is lost for good under four lasting tasks, with owners that change some times at a
+// downAfterLoss plays a worker that is lost for good under four lasting tasks, with owners that change some times at a
 // distance, and returns how long after the loss all run again.
-func playLost(t require.TestingT, first, every cottonlanding.Millis, changes int) cottonlanding.Millis {
+func downAfterLoss(t require.TestingT, first, every cottonlanding.Millis, changes int) cottonlanding.Millis {
 	const step, unlisted = 50 * cottonlanding.Millis(1), 4500 * cottonlanding.Millis(1)
 	w := newOwnedWorld(t)
 	w.play(cottonlanding.Second)
 	w.submit("lasts", "Urgent", cottonlanding.Step{Tasks: 4, Lasting: true, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}})
 	w.play(4 * cottonlanding.Second)
 	require.Equal(t, 4, w.runner.Lasting())
-	w.lose("w1")
+	w.crashForGood("w1")
 	lost, next := w.now, w.now+first
 	for w.runner.Lasting() < 4 && w.now < lost+cottonlanding.Minute {
 		if w.now >= next && changes > 0 {
 			changes--
 			next += every
-			w.takeOverFrom(w.now + ownerSeenGone)
+			w.takeOverFrom(w.now + ownerGoneAfter)
 		}
 		if w.now-lost == unlisted {
 			w.delist("w1")
@@ -64,20 +64,20 @@
 	return w.now - lost
 }
 
-// TestChangesOfOwnerDontBeginWaitsAnew: each change of owner began the wait anew for the leases of a worker that is lost, so that its
+// TestLeaseWaitSurvivesOwnerChanges: each change of owner began the wait anew for the leases of a worker that is lost, so that its
 // lasting tasks stayed down for as long as owners changed.
-func TestChangesOfOwnerDontBeginWaitsAnew(t *testing.T) {
+func TestLeaseWaitSurvivesOwnerChanges(t *testing.T) {
 	for _, first := range []cottonlanding.Millis{2500, 3000, 4000, 5000} {
 		for _, every := range []cottonlanding.Millis{2000, 3000, 5000, 7000} {
 			t.Run(fmt.Sprintf("first %s, then every %s", first, every), func(t *testing.T) {
-				require.LessOrEqual(t, playLost(t, first, every, 3), runsAgainWithin)
+				require.LessOrEqual(t, downAfterLoss(t, first, every, 3), runsAgainWithin)
 			})
 		}
 	}
 }
 
-// playSilentTable lets a while pass in which nothing is committed.
-func (w *world) playSilentTable(span cottonlanding.Millis) {
+// playWithoutCommits lets a while pass in which nothing is committed.
+func (w *world) playWithoutCommits(span cottonlanding.Millis) {
 	for end := w.now + span; w.now < end; {
 		w.now += turnSpan
 		w.makePlan()
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestNoLeaseBeyondAWrittenBound: a worker is back while its bound can't be taken off, and silent again when the owner changes. A lease that
+// TestLeasesRespectWrittenBound: a worker is back while its bound can't be taken off, and silent again when the owner changes. A lease that
 // was granted meanwhile would let its runs go on beside those that the next owner starts.
-func TestNoLeaseBeyondAWrittenBound(t *testing.T) {
+func TestLeasesRespectWrittenBound(t *testing.T) {
 	for back := cottonlanding.Second; back < 5*cottonlanding.Second; back += 500 {
 		w := newOwnedWorld(t)
 		w.play(cottonlanding.Second)
@@ -97,9 +97,9 @@
 		w.runner.Dark("w1", true)
 		w.play(2 * cottonlanding.Second)
 		w.runner.Dark("w1", false)
-		w.playSilentTable(back)
+		w.playWithoutCommits(back)
 		w.runner.Dark("w1", true)
-		w.takeOverFrom(w.now + ownerSeenGone)
+		w.takeOverFrom(w.now + ownerGoneAfter)
 		for range 200 {
 			w.turn(turnSpan)
 			require.Empty(t, w.runner.Violations(), "back for %s", back)
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestWrittenBoundsHold: a worker that is silent and back, behind any number of owners, runs no task that was given up while its
+// TestLeaseBoundsUnderFaults: a worker that is silent and back, behind any number of owners, runs no task that was given up while its
 // lease still lasted.
-func TestWrittenBoundsHold(t *testing.T) {
+func TestLeaseBoundsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newOwnedWorld(t)
 		w.play(cottonlanding.Second)
@@ -123,16 +123,16 @@
 			case 2:
 				w.runner.Dark(id, false)
 			case 3:
-				w.takeOverFrom(w.now + ownerSeenGone)
+				w.takeOverFrom(w.now + ownerGoneAfter)
 			case 4:
 				w.commit()
-				w.takeOverFrom(w.now + ownerSeenGone)
+				w.takeOverFrom(w.now + ownerGoneAfter)
 			case 5:
-				w.playSilentTable(cottonlanding.Millis(rapid.IntRange(100, 5000).Draw(t, "Silent")))
+				w.playWithoutCommits(cottonlanding.Millis(rapid.IntRange(100, 5000).Draw(t, "Silent")))
 			case 6:
 				if w.makePlan(); w.plan != nil { // its answer is lost
 					w.apply()
-					w.takeOverFrom(w.now + ownerSeenGone)
+					w.takeOverFrom(w.now + ownerGoneAfter)
 				}
 			}
 			for range rapid.IntRange(1, 60).Draw(t, "Turns") {
@@ -149,9 +149,9 @@
 	})
 }
 
-// TestBoundsOfOlderOwnersAreNotUsed: an owner of older code grants leases beside bounds that it doesn't know of. What the
+// TestBoundsOfOlderOwnersAreIgnored: an owner of older code grants leases beside bounds that it doesn't know of. What the
 // owner before that one has written says nothing of them.
-func TestBoundsOfOlderOwnersAreNotUsed(t *testing.T) {
+func TestBoundsOfOlderOwnersAreIgnored(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.play(cottonlanding.Second)
 	w.submit("lasts", "Urgent", cottonlanding.Step{Tasks: 4, Lasting: true, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}})
@@ -168,7 +168,7 @@
 	w.epoch++
 	w.boundsKeptSince = w.epoch + 1
 	w.runner.Dark("w1", true)
-	w.takeOverFrom(w.now + ownerSeenGone)
+	w.takeOverFrom(w.now + ownerGoneAfter)
 	for range 200 {
 		w.turn(turnSpan)
 		require.Empty(t, w.runner.Violations())
@@ -178,18 +178,18 @@
 // TestTaskLostWithItsOwnerRunsAgain: a lasting task whose worker and owner are lost at the same instant stayed down for longer than
 // its users' rule allows, since a cut-off owner might have renewed the lease for long.
 func TestTaskLostWithItsOwnerRunsAgain(t *testing.T) {
-	require.LessOrEqual(t, playLost(t, 0, 0, 1), runsAgainWithin)
+	require.LessOrEqual(t, downAfterLoss(t, 0, 0, 1), runsAgainWithin)
 }
 
-// TestCutOffOwnerKeepsToItsTail: an owner that is cut off renews leases on its workers, which its successor can't reach, for no longer
+// TestCutOffOwnerRespectsLeaseTail: an owner that is cut off renews leases on its workers, which its successor can't reach, for no longer
 // than the successor counts on.
-func TestCutOffOwnerKeepsToItsTail(t *testing.T) {
+func TestCutOffOwnerRespectsLeaseTail(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.play(cottonlanding.Second)
 	w.submit("lasts", "Urgent", cottonlanding.Step{Tasks: 4, Lasting: true, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}})
 	w.play(2 * cottonlanding.Second)
 	lastBeat := w.now
-	for w.now < lastBeat+ownerSeenGone {
+	for w.now < lastBeat+ownerGoneAfter {
 		w.now += turnSpan
 		w.orders(func() string { return "" })
 		w.pollAll()
@@ -197,7 +197,7 @@
 	for _, info := range w.workers[:2] {
 		w.runner.Dark(info.ID, true)
 	}
-	w.takeOverFrom(lastBeat + ownerSeenGone)
+	w.takeOverFrom(lastBeat + ownerGoneAfter)
 	for range 200 {
 		w.turn(turnSpan)
 		require.Empty(t, w.runner.Violations())
@@ -205,9 +205,9 @@
 	require.Equal(t, 4, w.runner.Lasting())
 }
 
-// TestLastingTasksKeepOffALifeThatHasJustBegun: leases that were meant for the life before may reach the next one, which cuts them to the longest
+// TestLastingTasksAvoidNewLife: leases that were meant for the life before may reach the next one, which cuts them to the longest
 // that workers take. A lasting task that began there and lost its worker once more stayed down for that long.
-func TestLastingTasksKeepOffALifeThatHasJustBegun(t *testing.T) {
+func TestLastingTasksAvoidNewLife(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.timing.MaxLease = 10 * cottonlanding.Second
 	w.runner.CutLeases(w.timing.MaxLease)
@@ -228,9 +228,9 @@
 	require.Equal(t, 1, w.runner.RunsOn("w1"), "no other has room")
 }
 
-// TestSlowTableHoldsUpNoLease: a worker that is cut off for a moment while the table is slow goes on with its tasks. Its lease would run out
+// TestLeasesSurviveSlowTable: a worker that is cut off for a moment while the table is slow goes on with its tasks. Its lease would run out
 // if it had to wait for two slow commits, one for its bound and one to take that off.
-func TestSlowTableHoldsUpNoLease(t *testing.T) {
+func TestLeasesSurviveSlowTable(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.play(cottonlanding.Second)
 	w.submit("lasts", "Urgent", cottonlanding.Step{Tasks: 4, Lasting: true, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}})
@@ -249,7 +249,7 @@
 // playSlowTable lets a while pass in which each commit takes two and a half seconds.
 func (w *world) playSlowTable(span cottonlanding.Millis) {
 	for end := w.now + span; w.now < end; {
-		w.playSilentTable(min(2500, end-w.now))
+		w.playWithoutCommits(min(2500, end-w.now))
 		w.commit()
 	}
 }
--- a/internal/workflow/planner/load.go
+++ b/internal/workflow/planner/load.go
@@ -33,7 +33,7 @@
 			return err
 		}
 	}
-	c.logTakenOver()
+	c.logInheritedLosses()
 	return nil
 }
 
@@ -79,7 +79,7 @@
 		r.unlockGuests()
 	}
 	if !j.state.Final() {
-		j.shrinkRounds()
+		j.withdrawUnstartedRounds()
 	}
 	c.addJob(j)
 	return nil
@@ -96,13 +96,13 @@
 			}
 		}
 	}
-	j.leaveOutFinished()
+	j.dropFinishedRounds()
 }
 
 func (c *Cell) loadTask(t *task, row taskRow, now cottonlanding.Millis) {
 	t.state, t.number, t.failures = row.State, row.Number, row.Failures
 	if t.away() {
-		t.job.size.away += len(t.state)
+		t.job.size.remote += len(t.state)
 		t.delegationCommitted = true
 	}
 	if _, found := t.guestCell(); found {
--- a/internal/workflow/planner/logbatch.go
+++ b/internal/workflow/planner/logbatch.go
@@ -16,7 +16,7 @@
 	// waited is the longest wait among placed, lookAge the age of the oldest answer
 	// of a worker among them.
 	waited  cottonlanding.Millis
-	lookAge cottonlanding.Millis
+	pollAge cottonlanding.Millis
 }
 
 // recordPlaced adds a task that was given to a worker.
@@ -24,7 +24,7 @@
 	s.placed = append(s.placed, fmt.Sprintf("%s#%d@%s", t.ref, t.number, w.info.ID))
 	s.lasting = t.stage.Lasting
 	s.waited = max(s.waited, now-t.waitingSince)
-	s.lookAge = max(s.lookAge, now-w.lastAnswerAt)
+	s.pollAge = max(s.pollAge, now-w.lastAnswerAt)
 }
 
 // logPlaced logs the tasks that were placed, each as task#run@worker.
@@ -35,9 +35,9 @@
 		if s.lasting {
 			log = c.logs.lasting
 		}
-		log.Info("tasks placed", "Tasks", s.placed, "LongestWait", s.waited, "OldestLook", s.lookAge)
+		log.Info("tasks placed", "Tasks", s.placed, "LongestWait", s.waited, "OldestLook", s.pollAge)
 	}
-	s.placed, s.waited, s.lookAge = nil, 0, 0
+	s.placed, s.waited, s.pollAge = nil, 0, 0
 }
 
 // recordEnded adds a run that ended by itself. One that was told to stop gets a line
@@ -48,7 +48,7 @@
 		c.logBatch.ended = append(c.logBatch.ended, line)
 		return
 	}
-	c.logs.of(r.step).Info("stopped run ended", "Task", r.Task.String(), "Run", r.Number, "Worker", r.worker.info.ID, "End", end.Kind,
+	c.logs.forStep(r.step).Info("stopped run ended", "Task", r.Task.String(), "Run", r.Number, "Worker", r.worker.info.ID, "End", end.Kind,
 		"Serial", end.Serial, "Reason", r.stopReason, "After", now-r.placedAt, "MarkedBefore", now-r.stopRequestedAt,
 		"SentBefore", r.stopSentBefore(now), "Tries", r.stopTries)
 }
@@ -88,17 +88,17 @@
 	c.log.Warn("worker lost", "Worker", w.info.ID, "Born", w.life().Born, "Runs", lost, "SilentFor", silent, "LastAnswer", now-w.lastAnswerAt, "Why", why)
 }
 
-// logPassedOver logs the ends of an answer that count as taken in before, if the worker was
+// logSkippedEnds logs the ends of an answer that count as taken in before, if the worker was
 // told that it may forget them: it has none of those any more.
-func (c *Cell) logPassedOver(w *worker, ends []cottonlanding.RunEnd) {
-	var passed []string
+func (c *Cell) logSkippedEnds(w *worker, ends []cottonlanding.RunEnd) {
+	var skipped []string
 	for _, end := range ends {
 		if end.Serial <= w.recordedEnds {
-			passed = append(passed, fmt.Sprintf("%d %s#%d %s", end.Serial, end.Task, end.Number, end.Kind))
+			skipped = append(skipped, fmt.Sprintf("%d %s#%d %s", end.Serial, end.Task, end.Number, end.Kind))
 		}
 	}
-	if len(passed) > 0 {
-		c.log.Warn("ends passed over", "Worker", w.info.ID, "Born", w.born, "Ends", passed, "Noted", w.receivedEnds, "Seen", w.recordedEnds)
+	if len(skipped) > 0 {
+		c.log.Warn("ends passed over", "Worker", w.info.ID, "Born", w.born, "Ends", skipped, "Noted", w.receivedEnds, "Seen", w.recordedEnds)
 	}
 }
 
@@ -106,24 +106,24 @@
 // that worker has listed for that run was altered on its way; two lines of one run with two
 // texts say that its start was repeated with another one.
 func (c *Cell) logCheckpoint(w *worker, r *run, from knownCheckpoint, now cottonlanding.Millis) {
-	c.logs.of(r.step).Info("start continues from a checkpoint", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "Checkpoint", from.text,
+	c.logs.forStep(r.step).Info("start continues from a checkpoint", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "Checkpoint", from.text,
 		"How", from.how, "Of", from.run, "By", from.worker, "Before", now-from.at, "Repeated", r.startUnconfirmed)
 }
 
-// losersTold bounds how many tasks logTakenOver names.
-const losersTold = 50
+// maxLoggedLosses bounds how many tasks logTakenOver names.
+const maxLoggedLosses = 50
 
-// logTakenOver logs which tasks have lost workers under the owners before, each with its counts.
-func (c *Cell) logTakenOver() {
-	var losers []string
+// logInheritedLosses logs which tasks have lost workers under the owners before, each with its counts.
+func (c *Cell) logInheritedLosses() {
+	var withLosses []string
 	for _, j := range c.openJobs {
 		j.eachTask(func(t *task) {
-			if t.crashes != (cottonlanding.CrashRecord{}) && len(losers) < losersTold {
-				losers = append(losers, fmt.Sprintf("%s#%d losses %d crashes %d", t.ref, t.number, t.crashes.Losses, t.crashes.Crashes))
+			if t.crashes != (cottonlanding.CrashRecord{}) && len(withLosses) < maxLoggedLosses {
+				withLosses = append(withLosses, fmt.Sprintf("%s#%d losses %d crashes %d", t.ref, t.number, t.crashes.Losses, t.crashes.Crashes))
 			}
 		})
 	}
-	if len(losers) > 0 {
-		c.log.Info("losses taken over", "Epoch", c.setup.Epoch, "Tasks", losers)
+	if len(withLosses) > 0 {
+		c.log.Info("losses taken over", "Epoch", c.setup.Epoch, "Tasks", withLosses)
 	}
 }
--- a/internal/workflow/planner/logbatch_test.go
+++ b/internal/workflow/planner/logbatch_test.go
@@ -12,8 +12,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// logged returns the lines of a JSON log that have a message.
-func logged(t *rapid.T, log *bytes.Buffer, message string) []map[string]any {
+// linesWithMessage returns the lines of a JSON log that have a message.
+func linesWithMessage(t *rapid.T, log *bytes.Buffer, message string) []map[string]any {
 	var out []map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(log.Bytes()))
 	for decoder.More() {
@@ -26,9 +26,9 @@
 	return out
 }
 
-// TestStoppedRunTellsWhereTheTimeWent: how long a stop waited here, and how long on
+// TestStoppedRunLogsDelays: how long a stop waited here, and how long on
 // its way, must be told apart afterwards.
-func TestStoppedRunTellsWhereTheTimeWent(t *testing.T) {
+func TestStoppedRunLogsDelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		var log bytes.Buffer
@@ -49,7 +49,7 @@
 		}
 		w.now += 50
 		w.pollAll()
-		lines := logged(t, &log, "stopped run ended")
+		lines := linesWithMessage(t, &log, "stopped run ended")
 		require.Len(t, lines, 1)
 		require.Equal(t, "lasting.0.0.0", lines[0]["Task"])
 		require.Equal(t, "the workflow ended", lines[0]["Reason"])
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestOneLineTellsAllPlacedTasks: the log of an owner must not grow by a line a task.
-func TestOneLineTellsAllPlacedTasks(t *testing.T) {
+// TestPlacedTasksAreLoggedTogether: the log of an owner must not grow by a line a task.
+func TestPlacedTasksAreLoggedTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		var log bytes.Buffer
@@ -69,7 +69,7 @@
 		w.pollAll()
 		w.submit("bulk", "Bulk", cottonlanding.Step{Tasks: 3, Resources: cottonlanding.Resources{CPU: 1000}})
 		w.decide(100)
-		lines := logged(t, &log, "tasks placed")
+		lines := linesWithMessage(t, &log, "tasks placed")
 		require.Len(t, lines, 1)
 		require.Len(t, lines[0]["Tasks"], 3)
 		require.Contains(t, lines[0]["Tasks"].([]any)[0], "bulk.0.0.0#1@")
--- a/internal/workflow/planner/logkinds.go
+++ b/internal/workflow/planner/logkinds.go
@@ -20,16 +20,16 @@
 	return kindLogs{general: log, tasks: writer.Of(log, writer.Tasks), lasting: writer.Of(log, writer.Lasting)}
 }
 
-// of returns the logger for lines about single runs of a step.
-func (l kindLogs) of(step cottonlanding.Step) *slog.Logger {
+// forStep returns the logger for lines about single runs forStep a step.
+func (l kindLogs) forStep(step cottonlanding.Step) *slog.Logger {
 	if step.Lasting {
 		return l.general
 	}
 	return l.tasks
 }
 
-// ofEnd returns the logger for the end of a workflow: that one succeeded is the usual course.
-func (l kindLogs) ofEnd(state cottonlanding.WorkflowState) *slog.Logger {
+// forEnd returns the logger for the end of a workflow: that one succeeded is the usual course.
+func (l kindLogs) forEnd(state cottonlanding.WorkflowState) *slog.Logger {
 	if state == cottonlanding.WorkflowSucceeded {
 		return l.tasks
 	}
--- a/internal/workflow/planner/logkinds_test.go
+++ b/internal/workflow/planner/logkinds_test.go
@@ -13,9 +13,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/log/writer"
 )
 
-// TestBusySecondTellsLastingTasks guards against a log in which the lines of thousands of short tasks hide what became
+// TestLastingTaskLogsSurviveBusySecond guards against a log in which the lines of thousands of short tasks hide what became
 // of lasting ones: the busiest second tells which of them are down, which run again, and why workers were lost.
-func TestBusySecondTellsLastingTasks(t *testing.T) {
+func TestLastingTaskLogsSurviveBusySecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { // in which all is written within one second of the log
 		w := newSpreadWorld(t)
 		out := &bytes.Buffer{}
--- a/internal/workflow/planner/openlife.go
+++ b/internal/workflow/planner/openlife.go
@@ -22,7 +22,7 @@
 // such lives the last is kept; none is where the row has no room for it.
 func (c *Cell) recordOpenLife(t *task, life cottonlanding.Life) {
 	bytes := openLifeBytes(life) - openLifeBytes(t.openLife)
-	if t.job.size.bytes()+bytes > mostForRounds {
+	if t.job.size.bytes()+bytes > maxRoundsBytes {
 		c.log.Warn("open life not kept", "Task", t.ref.String(), "Life", life.String(), "RowBytes", t.job.size.bytes())
 		return
 	}
--- a/internal/workflow/planner/order.go
+++ b/internal/workflow/planner/order.go
@@ -257,7 +257,7 @@
 	case err == nil:
 		if r.phase < started {
 			r.phase, r.ackedAt, r.progressedAt = started, now, now
-			r.recordAtWork(now)
+			r.recordRunning(now)
 			c.counts.Starts++
 			c.recordRuns(r, now)
 		}
--- a/internal/workflow/planner/ownersinseries_test.go
+++ b/internal/workflow/planner/ownersinseries_test.go
@@ -30,7 +30,7 @@
 		w.now += turnSpan
 		watch()
 	}
-	w.takeOverFrom(killed + ownerSeenGone)
+	w.takeOverFrom(killed + ownerGoneAfter)
 }
 
 // turnHanging is a turn in which looks at a worker hang for a while before they fail.
@@ -58,7 +58,7 @@
 		for _, unlist := range []bool{true, false} {
 			t.Run(fmt.Sprintf("the next one lives %s, unlisted %t", lives, unlist), func(t *testing.T) {
 				w := newLastingWorld(t)
-				w.lose("w1")
+				w.crashForGood("w1")
 				lost := w.now
 				hang := cottonlanding.Millis(0)
 				run := func(until cottonlanding.Millis) {
@@ -90,7 +90,7 @@
 // had written.
 func TestBoundsOutliveAnOwnerThatWroteNothing(t *testing.T) {
 	w := newLastingWorld(t)
-	w.lose("w1")
+	w.crashForGood("w1")
 	lost := w.now
 	w.play(2500)
 	w.killOwner(600, func() {})
@@ -176,7 +176,7 @@
 		w.now += turnSpan
 		firstLook()
 	}
-	w.takeOverFrom(killed + ownerSeenGone)
+	w.takeOverFrom(killed + ownerGoneAfter)
 	for range 400 {
 		step()
 	}
--- a/internal/workflow/planner/place.go
+++ b/internal/workflow/planner/place.go
@@ -31,7 +31,7 @@
 	c.updateSilentDataCentres(now)
 	c.dropUnsent(now)
 	c.stopOnLeavingWorkers(now)
-	c.leaveUnheard(now)
+	c.abandonOverdueStarts(now)
 	c.beginRounds(now, wall)
 	c.place(now)
 	c.returnGuests(now)
@@ -150,7 +150,7 @@
 		return
 	}
 	t.stage.nextRoomTry = now + makeRoomRetryInterval
-	if !t.job.hasRoomForLives(widestLife) {
+	if !t.job.hasRoomForLives(maxLifeBytes) {
 		c.logRowFull(t, now)
 		return // nothing is to give way for a task that may not be placed
 	}
@@ -164,7 +164,7 @@
 	t.state, t.number = taskAssigned, number
 	t.setLife(w.life())
 	t.preemptionUntil = 0
-	t.fixCheckpoint()
+	t.pinCheckpoint()
 	key := cottonlanding.RunKey{Task: t.ref, Number: number}
 	t.run = &run{RunKey: key, task: t, worker: w, life: w, born: t.life.Born, step: t.stage.Step, pace: fullPace, paceGoal: fullPace, placedAt: now, progressedAt: now}
 	w.addRun(t.run)
--- a/internal/workflow/planner/plan.go
+++ b/internal/workflow/planner/plan.go
@@ -161,7 +161,7 @@
 	if c.inFlight != nil {
 		return nil
 	}
-	if _, due := c.boundsDue(now); !due && len(c.dirty) == 0 && len(c.unplannedReferrals) == 0 && !c.learntDue(now) {
+	if _, due := c.boundsChanged(now); !due && len(c.dirty) == 0 && len(c.unplannedReferrals) == 0 && !c.learntDue(now) {
 		c.recordCommittedEnds(c.uncommittedEnds())
 		return nil
 	}
@@ -253,7 +253,7 @@
 func (j *job) row() stateRow {
 	row := stateRow{
 		State:       j.state,
-		Reason:      shortened(j.reason),
+		Reason:      truncateReason(j.reason),
 		Placed:      j.placed,
 		Started:     j.started,
 		DelegatedBy: j.delegatedBy,
--- a/internal/workflow/planner/poll.go
+++ b/internal/workflow/planner/poll.go
@@ -183,7 +183,7 @@
 		stopped := r.stopping && (r.firstStopAckAt > 0 && r.firstStopAckAt < sentAt || r.startsExpired(report.Reading))
 		gone := r.phase == started && r.ackedAt < sentAt
 		if stopped || gone {
-			c.logs.of(r.step).Info("run gone", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "Born", w.born, "Stopped", stopped)
+			c.logs.forStep(r.step).Info("run gone", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "Born", w.born, "Stopped", stopped)
 			c.dropRun(r, now)
 		}
 	}
@@ -218,7 +218,7 @@
 		r.progressedAt = now
 	}
 	r.listedAt = now
-	r.recordAtWork(now)
+	r.recordRunning(now)
 	r.percent = p.Percent
 	r.tailLatency, r.used = p.Tail, p.Used
 	r.recordCheckpoint(p.Checkpoint, checkpointListed, now)
--- a/internal/workflow/planner/rowlimitgang_test.go
+++ b/internal/workflow/planner/rowlimitgang_test.go
@@ -14,28 +14,28 @@
 // member which had begun was started with, while all must bring the same.
 func TestOverfullRowKeepsGangCheckpoint(t *testing.T) {
 	const others = 70
-	w := savedWorld(t)
+	w := checkpointWorld(t)
 	long := strings.Repeat("x", cottonlanding.MaxCheckpoint)
 	row := `["",1,"",0,"` + long + `"]`
-	after := saving(others)
+	after := checkpointingStep(others)
 	after.After = []int{0}
-	w.checkpoints.note(firstTask("slow"), cottonlanding.Checkpoint(long))
+	w.checkpoints.addListed(firstTask("slow"), cottonlanding.Checkpoint(long))
 	w.checkpoints.lists[cottonlanding.RunKey{Task: firstTask("slow"), Number: 2}] = -1000 // it has no newer text for so many lists
-	w.loadRow("slow", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+row+`,["",1]`+strings.Repeat(","+row, others)+`]}`, savingGang(2), after)
+	w.loadRow("slow", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+row+`,["",1]`+strings.Repeat(","+row, others)+`]}`, checkpointingGang(2), after)
 	for range 20 {
-		w.turnWithout(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
+		w.turnWithoutStart(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
 	}
 	require.Equal(t, 1, w.runner.Starts())
 	w.touchAll()
-	requireRepeated(t, w, 2)
+	requireRetried(t, w, 2)
 }
 
 // The same where only the newest text was left out, and the row still tells with which one the
 // run was started: the rows of the other members wiped that out when they were read.
 func TestGangRowWithStartCheckpointOnly(t *testing.T) {
-	w := savedWorld(t)
-	w.checkpoints.note(firstTask("gang"), "one")
-	w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["A",1,"w1",0,"",0,0,"one"],["A",1,"w2"]]}`, savingGang(2))
+	w := checkpointWorld(t)
+	w.checkpoints.addListed(firstTask("gang"), "one")
+	w.loadRow("gang", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["A",1,"w1",0,"",0,0,"one"],["A",1,"w2"]]}`, checkpointingGang(2))
 	w.play(2 * cottonlanding.Second)
 	require.EqualValues(t, "one", w.checkpoints.startedWith[cottonlanding.RunKey{Task: firstTask("gang"), Number: 1}])
 	require.Empty(t, w.checkpoints.faults)
@@ -49,8 +49,8 @@
 		"too long": strings.Repeat("x", cottonlanding.MaxCheckpoint+1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := savedWorld(t)
-			w.loadRow("w", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"`+text+`"]]}`, saving(1))
+			w := checkpointWorld(t)
+			w.loadRow("w", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"`+text+`"]]}`, checkpointingStep(1))
 			w.play(2 * cottonlanding.Second)
 			require.Equal(t, 1, w.runner.Starts())
 			require.Empty(t, w.checkpoints.faults)
--- a/internal/workflow/planner/rowlimitresume_test.go
+++ b/internal/workflow/planner/rowlimitresume_test.go
@@ -16,17 +16,17 @@
 func TestRowsWithStartCheckpointsFit(t *testing.T) {
 	long := strings.Repeat("\x01", cottonlanding.MaxCheckpoint) // each byte takes six in the row
 	escaped := strings.Repeat(`\u0001`, cottonlanding.MaxCheckpoint)
-	for name, step := range map[string]cottonlanding.Step{"tasks": saving(1), "gangs": savingGang(2)} {
+	for name, step := range map[string]cottonlanding.Step{"tasks": checkpointingStep(1), "gangs": checkpointingGang(2)} {
 		t.Run(name, func(t *testing.T) {
 			const count = 12
-			w := savedWorld(t)
+			w := checkpointWorld(t)
 			w.timing.MaxLease = w.timing.Lease + 4*cottonlanding.Second
 			var steps []cottonlanding.Step
 			var rows []string
 			for at := range count {
 				steps = append(steps, step)
 				for index := range step.Tasks {
-					w.checkpoints.note(cottonlanding.TaskRef{Workflow: "slow", Step: at, Index: index}, cottonlanding.Checkpoint(long))
+					w.checkpoints.addListed(cottonlanding.TaskRef{Workflow: "slow", Step: at, Index: index}, cottonlanding.Checkpoint(long))
 					rows = append(rows, `["",1,"",0,"`+escaped+`"]`)
 				}
 			}
--- a/internal/workflow/planner/rowplay_test.go
+++ b/internal/workflow/planner/rowsimulation_test.go
@@ -11,9 +11,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// rowPlay plays one cell and the workers of one service, each of which ends all that it starts by the next
+// rowSimulation plays one cell and the workers of one service, each of which ends all that it starts by the next
 // look, and checks the length of each row.
-type rowPlay struct {
+type rowSimulation struct {
 	t       require.TestingT
 	now     cottonlanding.Millis
 	cell    *planner.Cell
@@ -33,8 +33,8 @@
 	stopped *cottonlanding.TaskRef
 }
 
-func newRowPlay(t require.TestingT, ids ...cottonlanding.WorkerID) *rowPlay {
-	p := &rowPlay{
+func newRowSimulation(t require.TestingT, ids ...cottonlanding.WorkerID) *rowSimulation {
+	p := &rowSimulation{
 		t: t, now: 1000, kind: cottonlanding.EndDone,
 		rows:   make(map[cottonlanding.Key]cottonlanding.Row),
 		runs:   make(map[cottonlanding.WorkerID][]cottonlanding.RunKey),
@@ -57,13 +57,13 @@
 }
 
 // replaceWorkers has other workers in place of all.
-func (p *rowPlay) replaceWorkers(ids ...cottonlanding.WorkerID) {
+func (p *rowSimulation) replaceWorkers(ids ...cottonlanding.WorkerID) {
 	p.workers = rowWorkers(ids...)
 	p.cell.SetWorkers(p.workers, p.now)
 }
 
 // takeOver makes a new owner from the committed rows.
-func (p *rowPlay) takeOver() {
+func (p *rowSimulation) takeOver() {
 	p.epoch++
 	p.cell = planner.New(planner.Setup{Partition: partition, Epoch: p.epoch, BeforeUntil: p.now}, timing, selector.Default().Planner, discardLog())
 	p.cell.SetQueues(cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{"Q": {Name: "Q", Service: "S", Attempts: 3}}})
@@ -80,7 +80,7 @@
 }
 
 // commit decides and commits, and checks each row.
-func (p *rowPlay) commit() {
+func (p *rowSimulation) commit() {
 	p.cell.Decide(p.now, int64(p.now))
 	plan := p.cell.Plan(p.now)
 	if plan == nil {
@@ -95,7 +95,7 @@
 }
 
 // crash has a worker come back in another life, which knows nothing of the one before.
-func (p *rowPlay) crash(at int) {
+func (p *rowSimulation) crash(at int) {
 	p.workers = slices.Clone(p.workers)
 	p.workers[at].Born++
 	id := p.workers[at].ID
@@ -113,7 +113,7 @@
 }
 
 // order takes all orders: starts run from now on.
-func (p *rowPlay) order() {
+func (p *rowSimulation) order() {
 	for _, order := range p.cell.Orders(p.now) {
 		if id := order.Worker.Life.Worker; order.Verb == planner.VerbStart {
 			p.starts[order.Start.Task]++
@@ -123,8 +123,8 @@
 	}
 }
 
-// look asks all workers; what they ran before has ended.
-func (p *rowPlay) look() {
+// poll asks all workers; what they ran before has ended.
+func (p *rowSimulation) poll() {
 	for _, worker := range p.workers {
 		next, found := p.cell.NextPoll(worker.ID, p.now)
 		if !found || next.After > 0 {
@@ -152,15 +152,15 @@
 	}
 }
 
-func (p *rowPlay) turn() {
+func (p *rowSimulation) turn() {
 	p.now += 100
 	p.commit()
 	p.order()
-	p.look()
+	p.poll()
 }
 
 // playUntilDone plays turns, with another owner now and then, until the workflow has succeeded.
-func (p *rowPlay) playUntilDone(id cottonlanding.WorkflowID, turns int) {
+func (p *rowSimulation) playUntilDone(id cottonlanding.WorkflowID, turns int) {
 	for at := range turns {
 		p.turn()
 		if state, _ := p.cell.State(id); state == cottonlanding.WorkflowSucceeded {
@@ -174,7 +174,7 @@
 	require.Fail(p.t, "not finished", "%s hasn't succeeded, %d tasks have begun", id, len(p.starts))
 }
 
-func (p *rowPlay) requireAccepted(workflow cottonlanding.Workflow) {
+func (p *rowSimulation) requireAccepted(workflow cottonlanding.Workflow) {
 	var answered bool
 	p.cell.Submit(workflow, p.now, func(err error) {
 		require.NoError(p.t, err)
--- a/internal/workflow/planner/rowsize.go
+++ b/internal/workflow/planner/rowsize.go
@@ -15,24 +15,24 @@
 // there is room.
 
 const (
-	// headBytes is more than a state row takes beside its tasks.
-	headBytes = 1000
-	// maxReason is what a reason takes in a row at most, in bytes.
-	maxReason = 700
+	// rowOverheadBytes is more than a state row takes beside its tasks.
+	rowOverheadBytes = 1000
+	// maxReasonBytes is what a reason takes in a row at most, in bytes.
+	maxReasonBytes = 700
 	// doneBytes is what a task takes that is done.
 	doneBytes = len(`["D"],`)
 	// waitingBytes is the most that any other takes but for the life of its worker: with the
 	// largest run number, mostFailures, and as many losses as a task can have that isn't given up.
 	waitingBytes = len(`["",4294967295,"",999,"",-5,5],`)
-	// mostFailures bounds the attempts of a task, so that they have three digits.
-	mostFailures = 999
-	// usualBytes is what is kept for each task of a round that isn't done, so that it can be
+	// maxFailures bounds the attempts of a task, so that they have three digits.
+	maxFailures = 999
+	// typicalBytes is what is kept for each task of a round that isn't done, so that it can be
 	// placed on a worker with an id of usual length.
-	usualBytes = 60
-	// mostForRounds is up to where rounds are begun, in bytes. It leaves room for the longest
+	typicalBytes = 60
+	// maxRoundsBytes is up to where rounds are begun, in bytes. It leaves room for the longest
 	// life of a worker, so that something can always run. A round of as many tasks as a
 	// workflow may have takes less.
-	mostForRounds = maxRowBytes - 2000
+	maxRoundsBytes = maxRowBytes - 2000
 )
 
 // rowSize bounds the length of a state row.
@@ -42,23 +42,23 @@
 	// lives is what the lives of the workers take on which tasks are placed, open what those take
 	// that tasks have left open, in bytes.
 	lives, open int
-	// away is what the states of tasks take that aren't run here, in bytes.
-	away int
+	// remote is what the states of tasks take that aren't run here, in bytes.
+	remote int
 }
 
 // bytes returns the most that the row takes.
 func (s rowSize) bytes() int {
-	return headBytes + s.undone*waitingBytes + s.done*doneBytes + s.lives + s.open + s.away
+	return rowOverheadBytes + s.undone*waitingBytes + s.done*doneBytes + s.lives + s.open + s.remote
 }
 
-// usualBytes returns what the row takes if all tasks that aren't done run on workers with ids of
+// typicalBytes returns what the row takes if all tasks that aren't done run on workers with ids of
 // usual length.
-func (s rowSize) usualBytes() int {
-	return headBytes + s.undone*usualBytes + s.done*doneBytes
+func (s rowSize) typicalBytes() int {
+	return rowOverheadBytes + s.undone*typicalBytes + s.done*doneBytes
 }
 
 // fitsRounds reports whether the row may have all its rounds.
-func (s rowSize) fitsRounds() bool { return max(s.bytes(), s.usualBytes()) <= mostForRounds }
+func (s rowSize) fitsRounds() bool { return max(s.bytes(), s.typicalBytes()) <= maxRoundsBytes }
 
 // recordDone counts a task that is done from now on.
 func (s *rowSize) recordDone() {
@@ -75,15 +75,15 @@
 	return len(taskAssigned) + encodedBytes(life.String())
 }
 
-// mostPerByte is what a byte of a text takes at most that is written as an escape.
-const mostPerByte = len(`\u0000`)
+// maxEscapedByte is what a byte of a text takes at most that is written as an escape.
+const maxEscapedByte = len(`\u0000`)
 
 // encodedBytes returns the most that a text takes in a row, without its quotes.
 func encodedBytes(text string) int {
 	count := 0
 	for at := range len(text) {
 		if text[at] < ' ' || text[at] > '~' || strings.IndexByte(`"\<>&`, text[at]) >= 0 {
-			count += mostPerByte
+			count += maxEscapedByte
 			continue
 		}
 		count++
@@ -103,31 +103,31 @@
 	if j.size.bytes()+bytes <= maxRowBytes {
 		return true
 	}
-	j.leaveOutFinished()
+	j.dropFinishedRounds()
 	j.dropOpenLives()
 	return j.size.bytes()+bytes <= maxRowBytes
 }
 
-// widestLife is what the life of a worker takes in a row, with the birth that takes most, whose id
+// maxLifeBytes is what the life of a worker takes in a row, with the birth that takes most, whose id
 // is the longest that the platform allows and is written as it is.
-const widestLife = len(taskAssigned) + 200 + len("@-1y2p0ij32e8e8")
+const maxLifeBytes = len(taskAssigned) + 200 + len("@-1y2p0ij32e8e8")
 
-// checkState returns ErrCannotRun for a workflow whose row never has room for all that must be
+// checkRowFits returns ErrCannotRun for a workflow whose row never has room for all that must be
 // placed at once on the workers that the cell knows.
-func (c *Cell) checkState(workflow cottonlanding.Workflow, queue cottonlanding.Queue) error {
-	if stateFits(workflow, widestLife) {
+func (c *Cell) checkRowFits(workflow cottonlanding.Workflow, queue cottonlanding.Queue) error {
+	if rowFits(workflow, maxLifeBytes) {
 		return nil
 	}
-	longest := c.longestLife(queue.Service)
-	if stateFits(workflow, longest) {
+	longest := c.longestLifeBytes(queue.Service)
+	if rowFits(workflow, longest) {
 		return nil
 	}
 	return fmt.Errorf("%w: its lasting tasks and its largest gang must be placed at once, which may take over %d bytes to keep where a worker takes %d",
 		cottonlanding.ErrCannotRun, maxRowBytes, longest)
 }
 
-// longestLife returns the most that the life of a service's worker takes in a row, in bytes.
-func (c *Cell) longestLife(service cottonlanding.ServiceName) int {
+// longestLifeBytes returns the most that the life of a service's worker takes in a row, in bytes.
+func (c *Cell) longestLifeBytes(service cottonlanding.ServiceName) int {
 	longest := 0
 	for _, w := range c.workers {
 		if w.info.Service == service {
@@ -137,10 +137,10 @@
 	return longest
 }
 
-// stateFits reports whether a workflow's row has room for all rounds that are open at the same
+// rowFits reports whether a workflow's row has room for all rounds that are open at the same
 // time, with its lasting tasks and its largest gang placed on lives of so many bytes. Rounds with
 // lasting tasks are never finished, so that none of them is left out.
-func stateFits(workflow cottonlanding.Workflow, life int) bool {
+func rowFits(workflow cottonlanding.Workflow, life int) bool {
 	lasting, gang := 0, 0
 	for _, step := range workflow.Steps {
 		switch {
@@ -158,7 +158,7 @@
 		size.done += earlier * (tasks - lasting)
 		size.lives += earlier * lasting * life
 	}
-	return size.usualBytes() <= mostForRounds && size.bytes() <= maxRowBytes
+	return size.typicalBytes() <= maxRoundsBytes && size.bytes() <= maxRowBytes
 }
 
 // tasksPerRound counts the tasks of one round.
@@ -176,7 +176,7 @@
 	if j.sizeWithRound().fitsRounds() {
 		return true
 	}
-	j.leaveOutFinished()
+	j.dropFinishedRounds()
 	j.dropOpenLives()
 	return j.sizeWithRound().fitsRounds()
 }
@@ -188,8 +188,8 @@
 	return size
 }
 
-// leaveOutFinished has the row leave out the first rounds that are finished.
-func (j *job) leaveOutFinished() {
+// dropFinishedRounds has the row leave out the first rounds that are finished.
+func (j *job) dropFinishedRounds() {
 	for j.leftOut < len(j.rounds) && j.rounds[j.leftOut].finished() {
 		j.leftOut++
 		j.size.done -= tasksPerRound(j.Workflow)
@@ -207,22 +207,22 @@
 	return j.leftOut
 }
 
-// shrinkRounds takes back the last rounds of which nothing has begun until the row holds all
+// withdrawUnstartedRounds takes back the last rounds of which nothing has begun until the row holds all
 // rounds: owners of older code have begun them without regard to that. They begin again
 // when there is room.
-func (j *job) shrinkRounds() {
+func (j *job) withdrawUnstartedRounds() {
 	if j.size.fitsRounds() {
 		return
 	}
-	j.leaveOutFinished()
-	for last := len(j.rounds) - 1; last > j.leftOut && !j.size.fitsRounds() && j.rounds[last].untouched(); last-- {
+	j.dropFinishedRounds()
+	for last := len(j.rounds) - 1; last > j.leftOut && !j.size.fitsRounds() && j.rounds[last].neverStarted(); last-- {
 		delete(j.rounds, last)
 		j.size.undone -= tasksPerRound(j.Workflow)
 	}
 }
 
-// untouched reports whether no task of the round was ever placed.
-func (r *round) untouched() bool {
+// neverStarted reports whether no task of the round was ever placed.
+func (r *round) neverStarted() bool {
 	for _, s := range r.steps {
 		for _, t := range s.tasks {
 			if t.state != taskWaiting || t.number > 0 {
@@ -233,11 +233,11 @@
 	return true
 }
 
-// shortened returns a reason that a row can hold.
-func shortened(reason string) string {
-	for encodedBytes(reason) > maxReason {
-		excess := encodedBytes(reason) - maxReason
-		reason = strings.ToValidUTF8(reason[:len(reason)-max(1, excess/mostPerByte)], "")
+// truncateReason returns a reason that a row can hold.
+func truncateReason(reason string) string {
+	for encodedBytes(reason) > maxReasonBytes {
+		excess := encodedBytes(reason) - maxReasonBytes
+		reason = strings.ToValidUTF8(reason[:len(reason)-max(1, excess/maxEscapedByte)], "")
 	}
 	return reason
 }
--- a/internal/workflow/planner/rowsize_test.go
+++ b/internal/workflow/planner/rowsize_test.go
@@ -13,12 +13,12 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestSchedulesOfAnyLengthAreRun: the rounds of a schedule that together fit no row, due all at once, are run
+// TestLongSchedulesRun: the rounds of a schedule that together fit no row, due all at once, are run
 // one after the other, each task once, also where owners change.
-func TestSchedulesOfAnyLengthAreRun(t *testing.T) {
+func TestLongSchedulesRun(t *testing.T) {
 	for _, one := range []struct{ tasks, rounds int }{{1, 12_000}, {200, 100}, {1000, 12}} {
 		t.Run(fmt.Sprintf("%d rounds of %d", one.rounds, one.tasks), func(t *testing.T) {
-			p := newRowPlay(t, "w1", "w2")
+			p := newRowSimulation(t, "w1", "w2")
 			p.requireAccepted(cottonlanding.Workflow{ID: "many", Queue: "Q", Steps: []cottonlanding.Step{plainStep(one.tasks)},
 				Schedule: cottonlanding.Schedule{First: 1, Rounds: one.rounds}})
 			p.playUntilDone("many", 1000)
@@ -30,11 +30,11 @@
 	}
 }
 
-// TestRoundsOfAnOlderOwner: a row that an owner of older code has left may hold more rounds than fit with all their
+// TestOlderOwnersRowWithManyRounds: a row that an owner of older code has left may hold more rounds than fit with all their
 // tasks placed. Those of which nothing has begun wait for the others.
-func TestRoundsOfAnOlderOwner(t *testing.T) {
+func TestOlderOwnersRowWithManyRounds(t *testing.T) {
 	const rounds = 20
-	p := newRowPlay(t, "w1", "w2")
+	p := newRowSimulation(t, "w1", "w2")
 	p.requireAccepted(cottonlanding.Workflow{ID: "many", Queue: "Q", Steps: []cottonlanding.Step{plainStep(1000)},
 		Schedule: cottonlanding.Schedule{First: 1, Rounds: rounds}})
 	key := planner.StateKey(partition, "many")
@@ -46,10 +46,10 @@
 	require.Len(t, p.starts, 1000*(rounds-1))
 }
 
-// TestOlderCodeRefusesRowsThatLeaveRoundsOut: it would take the tasks of later rounds for those of the first ones, and
+// TestOlderCodeRefusesShortenedRows: it would take the tasks of later rounds for those of the first ones, and
 // start tasks that are done. It reads all other rows, whose count of rounds is a number as before.
-func TestOlderCodeRefusesRowsThatLeaveRoundsOut(t *testing.T) {
-	p := newRowPlay(t, "w1")
+func TestOlderCodeRefusesShortenedRows(t *testing.T) {
+	p := newRowSimulation(t, "w1")
 	schedule := func(rounds int) cottonlanding.Schedule { return cottonlanding.Schedule{First: 1, Rounds: rounds} }
 	p.requireAccepted(cottonlanding.Workflow{ID: "few", Queue: "Q", Steps: []cottonlanding.Step{plainStep(1000)}, Schedule: schedule(2)})
 	p.requireAccepted(cottonlanding.Workflow{ID: "many", Queue: "Q", Steps: []cottonlanding.Step{plainStep(500)}, Schedule: schedule(200)})
@@ -67,9 +67,9 @@
 	return cottonlanding.WorkerID(strings.Repeat(letter, length))
 }
 
-// TestTasksOnWorkersWithLongIDsAreRun: tasks that the row can't hold all at once with the ids of their workers are
+// TestTasksRunOnWorkersWithLongIDs: tasks that the row can't hold all at once with the ids of their workers are
 // run one after the other, each once, however long the ids are, alone or beside many rounds.
-func TestTasksOnWorkersWithLongIDsAreRun(t *testing.T) {
+func TestTasksRunOnWorkersWithLongIDs(t *testing.T) {
 	t.Parallel()
 	for name, id := range map[string]cottonlanding.WorkerID{
 		"60 bytes":     longID("i", 60),
@@ -79,7 +79,7 @@
 	} {
 		for _, one := range []struct{ tasks, rounds int }{{1000, 0}, {200, 60}} {
 			t.Run(fmt.Sprintf("%s, %d rounds", name, one.rounds), func(t *testing.T) {
-				p := newRowPlay(t, id)
+				p := newRowSimulation(t, id)
 				workflow := cottonlanding.Workflow{ID: "w", Queue: "Q", Steps: []cottonlanding.Step{plainStep(one.tasks)}}
 				if one.rounds > 0 {
 					workflow.Schedule = cottonlanding.Schedule{First: 1, Rounds: one.rounds}
@@ -95,16 +95,16 @@
 	}
 }
 
-// TestLargestWorkflowRunsWhole: where ids of workers have two dozen bytes, all tasks of the largest workflow are placed at
+// TestLargestWorkflowRunsAtOnce: where ids of workers have two dozen bytes, all tasks of the largest workflow are placed at
 // once, as a gang too.
-func TestLargestWorkflowRunsWhole(t *testing.T) {
+func TestLargestWorkflowRunsAtOnce(t *testing.T) {
 	for name, change := range map[string]func(*cottonlanding.Step){
 		"plain":   func(*cottonlanding.Step) {},
 		"lasting": func(s *cottonlanding.Step) { s.Lasting = true },
 		"gang":    func(s *cottonlanding.Step) { s.Gang = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newRowPlay(t, longID("i", 22), longID("j", 22))
+			p := newRowSimulation(t, longID("i", 22), longID("j", 22))
 			p.kind = ""
 			step := plainStep(1000)
 			change(&step)
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestWorkflowsThatNeverHaveRoomAreRefused: lasting tasks and gangs that a row can't hold all at once with the ids of the
+// TestWorkflowTooLargeForItsRowIsRefused: lasting tasks and gangs that a row can't hold all at once with the ids of the
 // workers would wait for good.
-func TestWorkflowsThatNeverHaveRoomAreRefused(t *testing.T) {
+func TestWorkflowTooLargeForItsRowIsRefused(t *testing.T) {
 	lasting, gang := plainStep(1000), plainStep(1000)
 	lasting.Lasting, gang.Gang = true, true
 	once := cottonlanding.Schedule{}
@@ -139,7 +139,7 @@
 		"gang of few, long ids": {cottonlanding.Step{Tasks: 100, Gang: true, Resources: cottonlanding.Resources{CPU: 1}}, once, 200, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newRowPlay(t, longID("i", one.idLength))
+			p := newRowSimulation(t, longID("i", one.idLength))
 			answered := false
 			p.cell.Submit(cottonlanding.Workflow{ID: "w", Queue: "Q", Steps: []cottonlanding.Step{one.step}, Schedule: one.schedule}, p.now, func(err error) {
 				answered = true
@@ -159,7 +159,7 @@
 // TestGangWaitsForRoomInItsRow: workers with long ids may come after a gang was accepted. It isn't placed then,
 // and is once there are others.
 func TestGangWaitsForRoomInItsRow(t *testing.T) {
-	p := newRowPlay(t)
+	p := newRowSimulation(t)
 	gang := plainStep(900)
 	gang.Gang = true
 	p.requireAccepted(cottonlanding.Workflow{ID: "w", Queue: "Q", Steps: []cottonlanding.Step{gang}})
@@ -173,16 +173,16 @@
 	require.Len(t, p.starts, 900)
 }
 
-// TestRowsTakeNoMoreThanIsCounted plays workflows whose tasks fail, crash their workers and are taken over, and holds each
+// TestRowSizeIsUpperBound plays workflows whose tasks fail, crash their workers and are taken over, and holds each
 // row against what was counted for it.
-func TestRowsTakeNoMoreThanIsCounted(t *testing.T) {
+func TestRowSizeIsUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		letters := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b<", "c\"", "d\n", "\ufffd", "é", "\u2028"}), 1, 4).Draw(t, "Letters")
 		var ids []cottonlanding.WorkerID
 		for at, letter := range letters {
 			ids = append(ids, cottonlanding.WorkerID(fmt.Sprint(at))+longID(letter, rapid.IntRange(1, 60).Draw(t, "Length")))
 		}
-		p := newRowPlay(t, ids...)
+		p := newRowSimulation(t, ids...)
 		var workflows []cottonlanding.WorkflowID
 		for at := range rapid.IntRange(1, 2).Draw(t, "Workflows") {
 			step := plainStep(rapid.IntRange(1, 300).Draw(t, "Tasks"))
@@ -215,10 +215,10 @@
 	})
 }
 
-// TestRowsWithTheLargestNumbersFit: what is counted covers a task with the largest numbers that one can come to.
-func TestRowsWithTheLargestNumbersFit(t *testing.T) {
+// TestRowSizeCoversLargestNumbers: what is counted covers a task with the largest numbers that one can come to.
+func TestRowSizeCoversLargestNumbers(t *testing.T) {
 	const tasks = 1000
-	p := newRowPlay(t)
+	p := newRowSimulation(t)
 	p.requireAccepted(cottonlanding.Workflow{ID: "w", Queue: "Q", Steps: []cottonlanding.Step{plainStep(tasks)}})
 	task := `["A",4294967295,"` + strings.Repeat("i", 23) + `@zik0zjzz",999,"",5,5],`
 	key := planner.StateKey(partition, "w")
@@ -232,10 +232,10 @@
 	require.LessOrEqual(t, counted, 65_000)
 }
 
-// TestRowsWithLongReasonsFit: the reason of a workflow that has failed names it and a worker, and their ids may be long.
-func TestRowsWithLongReasonsFit(t *testing.T) {
+// TestRowSizeCoversLongReasons: the reason of a workflow that has failed names it and a worker, and their ids may be long.
+func TestRowSizeCoversLongReasons(t *testing.T) {
 	id := cottonlanding.WorkflowID(strings.Repeat("<", 600))
-	p := newRowPlay(t, longID("<", 200))
+	p := newRowSimulation(t, longID("<", 200))
 	p.kind = cottonlanding.EndFailed
 	p.requireAccepted(cottonlanding.Workflow{ID: id, Queue: "Q", Steps: []cottonlanding.Step{plainStep(1)}})
 	for range 20 {
@@ -247,10 +247,10 @@
 	require.LessOrEqual(t, bytes, counted)
 }
 
-// TestWhatAnotherCellMightRefuseStays: a workflow that was accepted and is handed over must be taken there, also where
+// TestLargeWorkflowStaysInItsCell: a workflow that was accepted and is handed over must be taken there, also where
 // the workers have longer ids.
-func TestWhatAnotherCellMightRefuseStays(t *testing.T) {
-	p := newRowPlay(t)
+func TestLargeWorkflowStaysInItsCell(t *testing.T) {
+	p := newRowSimulation(t)
 	for id, tasks := range map[cottonlanding.WorkflowID]int{"few": 200, "many": 600} {
 		step := plainStep(tasks)
 		step.Lasting = true
@@ -260,15 +260,15 @@
 	leavers := p.cell.Leavers(10, p.now)
 	require.Len(t, leavers, 1)
 	require.EqualValues(t, "few", leavers[0].ID)
-	other := newRowPlay(t, longID("i", 200))
+	other := newRowSimulation(t, longID("i", 200))
 	other.requireAccepted(leavers[0])
 }
 
-// TestRoundThatIsOverLast: while the first round goes on, later ones that are finished stay in the row. They leave room for it to
+// TestFirstRoundFinishesLast: while the first round goes on, later ones that are finished stay in the row. They leave room for it to
 // run on a worker with the longest id.
-func TestRoundThatIsOverLast(t *testing.T) {
+func TestFirstRoundFinishesLast(t *testing.T) {
 	const rounds = 10_600
-	p := newRowPlay(t, "w1")
+	p := newRowSimulation(t, "w1")
 	p.stopped = &cottonlanding.TaskRef{Workflow: "w"}
 	p.requireAccepted(cottonlanding.Workflow{ID: "w", Queue: "Q", Steps: []cottonlanding.Step{plainStep(1)},
 		Schedule: cottonlanding.Schedule{First: 1, Rounds: rounds}})
@@ -282,11 +282,11 @@
 	require.Len(t, p.starts, rounds)
 }
 
-// TestFinishedRoundsMakeRoomForAGang: rounds that are over give way to a gang on workers with long ids, also where no
+// TestFinishedRoundsMakeRoomForGang: rounds that are over give way to a gang on workers with long ids, also where no
 // other round is due.
-func TestFinishedRoundsMakeRoomForAGang(t *testing.T) {
+func TestFinishedRoundsMakeRoomForGang(t *testing.T) {
 	const rounds, members = 68, 100
-	p := newRowPlay(t, longID("i", 200))
+	p := newRowSimulation(t, longID("i", 200))
 	gang := plainStep(members)
 	gang.Gang = true
 	p.requireAccepted(cottonlanding.Workflow{ID: "w", Queue: "Q", Steps: []cottonlanding.Step{gang},
--- a/internal/workflow/planner/run.go
+++ b/internal/workflow/planner/run.go
@@ -13,7 +13,7 @@
 
 // recordEnds takes in the ends that an answer of a worker lists.
 func (c *Cell) recordEnds(w *worker, ends []cottonlanding.RunEnd, now cottonlanding.Millis) {
-	c.logPassedOver(w, ends)
+	c.logSkippedEnds(w, ends)
 	for _, end := range ends {
 		c.recordEnd(w, end, now)
 	}
@@ -126,7 +126,7 @@
 			member.failures = max(member.failures, t.failures)
 		}
 	}
-	if t.failures >= min(max(1, t.job.queue.Attempts), mostFailures) {
+	if t.failures >= min(max(1, t.job.queue.Attempts), maxFailures) {
 		c.counts.Failed++
 		c.end(t.job, cottonlanding.WorkflowFailed, "task "+t.ref.String()+" failed too often, last on "+string(w.info.ID), now)
 		return
@@ -166,7 +166,7 @@
 	r.stopping, r.stopReason, r.stopRequestedAt = true, reason, now
 	r.unwanted.Store(true)
 	r.worker.markChanged()
-	c.logs.of(r.step).Info("run to be stopped", "Task", r.Task.String(), "Run", r.Number, "Worker", r.worker.info.ID, "Reason", reason)
+	c.logs.forStep(r.step).Info("run to be stopped", "Task", r.Task.String(), "Run", r.Number, "Worker", r.worker.info.ID, "Reason", reason)
 }
 
 // dropUnsent ends the runs that were never sent and are to be stopped, or whose
@@ -220,7 +220,7 @@
 			return
 		}
 		free = free.Plus(r.step.Reserved())
-		c.logs.of(r.step).Info("start taken back", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "CPU", int64(w.info.Capacity.CPU),
+		c.logs.forStep(r.step).Info("start taken back", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "CPU", int64(w.info.Capacity.CPU),
 			"Memory", w.info.Capacity.Memory.String(), "Sent", r.phase == sent)
 		if r.phase == sent {
 			c.stop(r, "its worker's room has shrunk", now) // it may wait behind others, and isn't sent then
--- a/internal/workflow/planner/search_test.go
+++ b/internal/workflow/planner/search_test.go
@@ -37,23 +37,23 @@
 // searchWorld is a world with the bounds of the search.
 type searchWorld struct {
 	*world
-	rebirths, owners, waits, silences int
+	restarts, owners, waits, silences int
 }
 
 func (s *searchWorld) sendAll(fault string) { s.orders(func() string { return fault }) }
 
-func (s *searchWorld) lookAllUnanswered() {
+func (s *searchWorld) pollAllUnanswered() {
 	for _, info := range s.workers {
 		s.poll(info.ID, false)
 	}
 }
 
 const (
-	mostRebirths = 2
-	mostOwners   = 2
-	mostWaits    = 1
-	mostLate     = 2
-	mostSilences = 1
+	maxRestarts   = 2
+	maxOwners     = 2
+	maxWaits      = 1
+	maxLateOrders = 2
+	maxSilences   = 1
 )
 
 var searchSteps = []searchStep{
@@ -61,39 +61,39 @@
 	{name: "orders", do: func(s *searchWorld) { s.sendAll("") }},
 	{name: "orders lost", do: func(s *searchWorld) { s.sendAll("lost") }},
 	{name: "orders unanswered", do: func(s *searchWorld) { s.sendAll("unanswered") }},
-	{name: "orders late", do: func(s *searchWorld) { s.sendAll("late") }, may: func(s *searchWorld) bool { return len(s.late) < mostLate }},
+	{name: "orders late", do: func(s *searchWorld) { s.sendAll("late") }, may: func(s *searchWorld) bool { return len(s.late) < maxLateOrders }},
 	{name: "late order", do: func(s *searchWorld) {
 		_, _ = s.send(s.late[0])
 		s.late = s.late[1:]
 	}, may: func(s *searchWorld) bool { return len(s.late) > 0 }},
 	{name: "looks", do: func(s *searchWorld) { s.pollAll() }},
-	{name: "looks unanswered", do: func(s *searchWorld) { s.lookAllUnanswered() }},
-	{name: "w1 reborn", do: func(s *searchWorld) { s.searchRebirth(0) }, may: func(s *searchWorld) bool { return s.rebirths < mostRebirths }},
-	{name: "w2 reborn", do: func(s *searchWorld) { s.searchRebirth(1) }, may: func(s *searchWorld) bool { return s.rebirths < mostRebirths }},
-	{name: "w2 silent", do: func(s *searchWorld) { s.darken(true) }, may: func(s *searchWorld) bool { return s.silences < mostSilences }},
-	{name: "w2 answers", do: func(s *searchWorld) { s.darken(false) }, may: func(s *searchWorld) bool { return s.silences > 0 }},
+	{name: "looks unanswered", do: func(s *searchWorld) { s.pollAllUnanswered() }},
+	{name: "w1 reborn", do: func(s *searchWorld) { s.searchRestart(0) }, may: func(s *searchWorld) bool { return s.restarts < maxRestarts }},
+	{name: "w2 reborn", do: func(s *searchWorld) { s.searchRestart(1) }, may: func(s *searchWorld) bool { return s.restarts < maxRestarts }},
+	{name: "w2 silent", do: func(s *searchWorld) { s.setSilent(true) }, may: func(s *searchWorld) bool { return s.silences < maxSilences }},
+	{name: "w2 answers", do: func(s *searchWorld) { s.setSilent(false) }, may: func(s *searchWorld) bool { return s.silences > 0 }},
 	{name: "entries", do: func(s *searchWorld) { s.relist() }},
 	{name: "runs end", do: func(s *searchWorld) { s.now += 300 }},
 	{name: "leases end", do: func(s *searchWorld) {
 		s.now += s.timing.MaxLease + 2*cottonlanding.Second
 		s.waits++
-	}, may: func(s *searchWorld) bool { return s.waits < mostWaits }},
+	}, may: func(s *searchWorld) bool { return s.waits < maxWaits }},
 	{name: "next owner", do: func(s *searchWorld) {
 		s.owners++
 		s.takeOver()
-	}, may: func(s *searchWorld) bool { return s.owners < mostOwners }},
+	}, may: func(s *searchWorld) bool { return s.owners < maxOwners }},
 }
 
-// darken makes the second worker silent while it runs on, or ends that.
-func (s *searchWorld) darken(dark bool) {
+// setSilent makes the second worker silent while it runs on, or ends that.
+func (s *searchWorld) setSilent(dark bool) {
 	if dark {
 		s.silences++
 	}
 	s.runner.Dark(s.workers[1].ID, dark)
 }
 
-func (s *searchWorld) searchRebirth(number int) {
-	s.rebirths++
+func (s *searchWorld) searchRestart(number int) {
+	s.restarts++
 	s.restartWorker(number)
 	s.dropLateOrders()
 }
@@ -134,7 +134,7 @@
 func (s *searchWorld) fingerprint() uint64 {
 	sum := fnv.New64a()
 	_, _ = fmt.Fprintln(sum, s.checkpoints.fingerprint())
-	_, _ = fmt.Fprintln(sum, s.cell.Fingerprint(s.now), s.runner.Fingerprint(), s.epoch, s.rebirths, s.owners, s.waits, s.silences)
+	_, _ = fmt.Fprintln(sum, s.cell.Fingerprint(s.now), s.runner.Fingerprint(), s.epoch, s.restarts, s.owners, s.waits, s.silences)
 	for _, info := range s.workers {
 		_, _ = fmt.Fprintln(sum, info.Born)
 	}
@@ -144,8 +144,8 @@
 	return sum.Sum64()
 }
 
-// broken returns what must not be true in a state, or "".
-func (s *searchWorld) broken() string {
+// violation returns what must not be true in a state, or "".
+func (s *searchWorld) violation() string {
 	if violations := s.runner.Violations(); len(violations) > 0 {
 		return violations[0]
 	}
@@ -160,10 +160,10 @@
 	return ""
 }
 
-// unsettled lets all go well and returns what has not come to its end.
-func (s *searchWorld) unsettled() string {
+// unfinished lets all go well and returns what has not come to its end.
+func (s *searchWorld) unfinished() string {
 	s.relist()
-	s.darken(false)
+	s.setSilent(false)
 	for _, order := range s.late {
 		_, _ = s.send(order)
 	}
@@ -171,8 +171,8 @@
 	for range 100 {
 		s.turn(200)
 	}
-	if broken := s.broken(); broken != "" {
-		return broken
+	if violation := s.violation(); violation != "" {
+		return violation
 	}
 	for id := range s.accepted {
 		if state, _ := s.cell.State(id); state != cottonlanding.WorkflowSucceeded {
@@ -214,9 +214,9 @@
 	if known {
 		return
 	}
-	fault := w.broken()
+	fault := w.violation()
 	if fault == "" {
-		fault = w.unsettled()
+		fault = w.unfinished()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,7 +236,7 @@
 	paths := [][]byte{nil}
 	for depth := 1; depth <= deepest && len(s.faults) == 0; depth++ {
 		s.next = nil
-		s.deepen(paths)
+		s.expand(paths)
 		paths = s.next
 		s.t.Logf("depth %d: %d states, %d of them new; in time: %t", depth, len(s.seen), len(paths), time.Now().Before(s.until))
 	}
@@ -249,8 +249,8 @@
 	}
 }
 
-// deepen plays one more step after each of the paths.
-func (s *search) deepen(paths [][]byte) {
+// expand plays one more step after each of the paths.
+func (s *search) expand(paths [][]byte) {
 	work := make(chan []byte)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -272,11 +272,11 @@
 	workers.Wait()
 }
 
-// TestSearchOfLives: in every state that workers which crash and come back under their ids, late,
+// TestSearchLives: in every state that workers which crash and come back under their ids, late,
 // lost and unanswered orders and looks, entries and a change of owner lead to within a number
 // of steps, no task runs twice or is done twice, none waits for ever, no run is left, and no
 // clock is believed to be ahead of itself.
-func TestSearchOfLives(t *testing.T) {
+func TestSearchLives(t *testing.T) {
 	s := &search{t: t, world: newSearchWorld, steps: searchSteps}
 	s.run(*searchDepth)
 }
--- a/internal/workflow/planner/successor_test.go
+++ b/internal/workflow/planner/successor_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
-	w.lose("w1")
+	w.crashForGood("w1")
 	w.addLife(w.workers[0])
 	came := len(w.workers) - 1
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
@@ -37,7 +37,7 @@
 	w.playHanging("w1", 400)
 	require.Equal(t, 8, w.runner.Lasting())
 	if ownerChanges {
-		w.takeOverFrom(w.now + ownerSeenGone)
+		w.takeOverFrom(w.now + ownerGoneAfter)
 		w.playHanging("w1", 100)
 	}
 	w.unlist(came)
--- a/internal/workflow/planner/waiting.go
+++ b/internal/workflow/planner/waiting.go
@@ -91,7 +91,7 @@
 // lastWaitLog returns when it was last logged why the task waits: for a task that is missed, or for all of its step.
 func (t *task) lastWaitLog() *cottonlanding.Millis {
 	if t.downtime != nil {
-		return &t.downtime.toldAt
+		return &t.downtime.loggedAt
 	}
 	return &t.stage.loggedAt
 }
--- a/internal/workflow/planner/worker.go
+++ b/internal/workflow/planner/worker.go
@@ -211,7 +211,7 @@
 
 func (c *Cell) addWorker(info cottonlanding.WorkerInfo, now cottonlanding.Millis) *worker {
 	w := &worker{info: info, runs: newRunSet(), knownSince: now}
-	w.leaseBound = max(now, c.ownersBound())
+	w.leaseBound = max(now, c.earlierOwnersBound())
 	c.inheritBound(w, now)
 	c.updateEvacuated(w)
 	_, w.dataCentreSilent = c.silentSince[info.DataCentre]
