--- a/internal/api/operator/golden_test.go
+++ b/internal/api/operator/golden_test.go
@@ -66,5 +66,5 @@
 		Status: http.StatusServiceUnavailable, Problem: responder.Problem{Error: "w1", Detail: "d1"},
 		Outcome: cottonlanding.NotRun, RetryAfter: "9",
 	}, refusal)
-	transcriber.Compare(t, "calls.txt", stand.Calls())
+	transcriber.RequireFile(t, "calls.txt", stand.Calls())
 }
--- a/internal/api/server/golden_test.go
+++ b/internal/api/server/golden_test.go
@@ -139,7 +139,7 @@
 		api.ServeHTTP(recorded, request)
 		out += fmt.Sprintf("%s %s\n%s%s\n", one.method, one.path, d.notes, transcriber.Response(recorded))
 	}
-	transcriber.Compare(t, "api.txt", out)
+	transcriber.RequireFile(t, "api.txt", out)
 }
 
 // TestGoldenBodies guards against another field of an answer.
--- a/internal/command/interpreter/golden_test.go
+++ b/internal/command/interpreter/golden_test.go
@@ -31,7 +31,7 @@
 		require.Equal(t, 0, interpreter.Run([]string{command, "--help"}, &out, &errors))
 	}
 	require.Empty(t, out.String())
-	transcriber.Compare(t, "help.txt", errors.String())
+	transcriber.RequireFile(t, "help.txt", errors.String())
 }
 
 // TestGoldenCommands guards against another output or exit code of a command, and another reading
@@ -78,5 +78,5 @@
 	run("--output=Xml", "get")
 	refused = true
 	run("drain")
-	transcriber.Compare(t, "commands.txt", transcript)
+	transcriber.RequireFile(t, "commands.txt", transcript)
 }
--- a/internal/golden/transcriber/transcriber.go
+++ b/internal/golden/transcriber/transcriber.go
@@ -25,8 +25,8 @@
 // changing are the headers that HTTP itself sets.
 var changing = []string{"Accept-Encoding", "Content-Length", "Date", "User-Agent"}
 
-// Compare requires a text to be exactly that of a golden file of the test's package.
-func Compare(t testing.TB, name, got string) {
+// RequireFile requires a text to be exactly that of a golden file of the test's package.
+func RequireFile(t testing.TB, name, got string) {
 	t.Helper()
 	require.Equal(t, string(Golden(t, name)), got, "differs from testdata/golden/%s", name)
 }
@@ -63,8 +63,8 @@
 	var filled, zero, decoded T
 	number := 0
 	fill(reflect.ValueOf(&filled).Elem(), &number)
-	Compare(t, name+".json", Value(t, filled))
-	Compare(t, name+"-zero.json", Value(t, zero))
+	RequireFile(t, name+".json", Value(t, filled))
+	RequireFile(t, name+"-zero.json", Value(t, zero))
 	require.NoError(t, json.Unmarshal(Golden(t, name+".json"), &decoded))
 	require.Equal(t, filled, decoded)
 }
--- a/internal/load/interpreter/golden_test.go
+++ b/internal/load/interpreter/golden_test.go
@@ -21,7 +21,7 @@
 	require.Equal(t, 2, interpreter.Run([]string{"requests"}, &out, &errors))
 	require.Equal(t, 2, interpreter.Run([]string{"requests", "--target=10.0.0.1:1", "--output=Xml"}, &out, &errors))
 	require.Empty(t, out.String())
-	transcriber.Compare(t, "help.txt", errors.String())
+	transcriber.RequireFile(t, "help.txt", errors.String())
 }
 
 // TestGoldenResult guards against another field of what a run prints for programs.
--- a/internal/log/writer/golden_test.go
+++ b/internal/log/writer/golden_test.go
@@ -48,5 +48,5 @@
 	log.Info("general", "Number", 1)
 	writer.Of(log, writer.Requests).Warn("request", "Text", "t1")
 	lines.Close()
-	transcriber.Compare(t, "lines.txt", out.String()+dropped)
+	transcriber.RequireFile(t, "lines.txt", out.String()+dropped)
 }
--- a/internal/peer/exchanger/golden_test.go
+++ b/internal/peer/exchanger/golden_test.go
@@ -68,7 +68,7 @@
 		Claimed:   true,
 	})
 	require.NoError(t, err)
-	transcriber.Compare(t, "calls.txt", peer.calls)
+	transcriber.RequireFile(t, "calls.txt", peer.calls)
 	require.Equal(t, dispatcher.Reply{
 		Outcome: cottonlanding.Ran,
 		Answer:  cottonlanding.Answer{Status: 201, Header: cottonlanding.Header{"H1": {"v1", "v2"}}, Body: []byte("b1")},
--- a/internal/platform/connector/golden_test.go
+++ b/internal/platform/connector/golden_test.go
@@ -50,7 +50,7 @@
 	_, err = c.Get(ctx, "o/1")
 	require.NoError(t, err)
 	require.NoError(t, c.Delete(ctx, "o/1"))
-	transcriber.Compare(t, "calls.txt", stand.Calls())
+	transcriber.RequireFile(t, "calls.txt", stand.Calls())
 	for status, want := range map[int]error{
 		http.StatusConflict:            cottonlanding.ErrConflict,
 		http.StatusNotFound:            cottonlanding.ErrNotFound,
--- a/internal/policy/selector/golden_test.go
+++ b/internal/policy/selector/golden_test.go
@@ -64,7 +64,7 @@
 	}
 	_, err := selector.New(selector.Names{"?": ""})
 	require.Error(t, err)
-	transcriber.Compare(t, "decisions.txt", names+err.Error()+"\n")
+	transcriber.RequireFile(t, "decisions.txt", names+err.Error()+"\n")
 }
 
 // TestGoldenCatalogs guards against another name of the policies that the operators' file names.
--- a/internal/settings/loader/golden_test.go
+++ b/internal/settings/loader/golden_test.go
@@ -51,7 +51,7 @@
 	require.Equal(t, want, job)
 	evacuated, err := loader.Evacuate("f", transcriber.Golden(t, "configuration.yaml"), "d3", true)
 	require.NoError(t, err)
-	transcriber.Compare(t, "evacuated.yaml", string(evacuated))
+	transcriber.RequireFile(t, "evacuated.yaml", string(evacuated))
 }
 
 // TestGoldenDefaults guards against another default of what files leave out.
@@ -97,7 +97,7 @@
 		add(loader.ParseConfiguration("configuration", []byte(text)))
 	}
 	add(loader.ParseJob("job", []byte("{Name: j1}"), goldenConfiguration))
-	transcriber.Compare(t, "faults.txt", out)
+	transcriber.RequireFile(t, "faults.txt", out)
 }
 
 // TestGoldenExamples guards against examples that no longer parse.
--- a/internal/stand/executor/golden_test.go
+++ b/internal/stand/executor/golden_test.go
@@ -31,5 +31,5 @@
 		e.ServeHTTP(recorded, request)
 		out += one.method + " " + one.path + "\n" + transcriber.Response(recorded) + "\n"
 	}
-	transcriber.Compare(t, "executor.txt", out)
+	transcriber.RequireFile(t, "executor.txt", out)
 }
--- a/internal/stand/faulter/golden_test.go
+++ b/internal/stand/faulter/golden_test.go
@@ -25,5 +25,5 @@
 		handler.ServeHTTP(recorded, httptest.NewRequest(one.method, one.path, strings.NewReader(one.body)))
 		out += transcriber.Response(recorded) + "\n"
 	}
-	transcriber.Compare(t, "switches.txt", out)
+	transcriber.RequireFile(t, "switches.txt", out)
 }
--- a/internal/stand/interpreter/golden_test.go
+++ b/internal/stand/interpreter/golden_test.go
@@ -19,5 +19,5 @@
 		require.Equal(t, 0, interpreter.Run([]string{command, "--help"}, &out, &errors))
 	}
 	require.Empty(t, out.String())
-	transcriber.Compare(t, "help.txt", errors.String())
+	transcriber.RequireFile(t, "help.txt", errors.String())
 }
--- a/internal/stand/platform/golden_test.go
+++ b/internal/stand/platform/golden_test.go
@@ -35,5 +35,5 @@
 		p.ServeHTTP(recorded, httptest.NewRequest(one.method, one.path, strings.NewReader(one.body)))
 		out += fmt.Sprintf("%s %s\n%s\n", one.method, one.path, transcriber.Response(recorded))
 	}
-	transcriber.Compare(t, "platform.txt", out)
+	transcriber.RequireFile(t, "platform.txt", out)
 }
--- a/internal/stand/worker/golden_test.go
+++ b/internal/stand/worker/golden_test.go
@@ -37,5 +37,5 @@
 		group.ServeHTTP(recorded, request)
 		out += fmt.Sprintf("%s %s\n%s\n", one.method, one.path, transcriber.Response(recorded))
 	}
-	transcriber.Compare(t, "worker.txt", out)
+	transcriber.RequireFile(t, "worker.txt", out)
 }
--- a/internal/target/commander/golden_test.go
+++ b/internal/target/commander/golden_test.go
@@ -42,7 +42,7 @@
 	require.NoError(t, c.Checkpoint(ctx, worker, command))
 	require.NoError(t, c.Throttle(ctx, worker, command))
 	require.NoError(t, c.Acknowledge(ctx, worker, command))
-	transcriber.Compare(t, "calls.txt", stand.Calls())
+	transcriber.RequireFile(t, "calls.txt", stand.Calls())
 	stand.Answer(transcriber.Reply{Status: http.StatusConflict, Body: `{"Error":"StaleEpoch","Detail":"d1"}`})
 	require.ErrorIs(t, c.Stop(ctx, worker, command), cottonlanding.ErrStaleEpoch)
 }
--- a/internal/target/requester/golden_test.go
+++ b/internal/target/requester/golden_test.go
@@ -39,5 +39,5 @@
 	stand.Answer(transcriber.Reply{Status: http.StatusOK, Header: map[string]string{"Cottonlanding-Request-Id": "other"}})
 	_, err = r.Call(ctx, stand.Address(), request)
 	require.ErrorIs(t, err, cottonlanding.ErrAmbiguous)
-	transcriber.Compare(t, "calls.txt", stand.Calls())
+	transcriber.RequireFile(t, "calls.txt", stand.Calls())
 }
--- a/internal/web/responder/golden_test.go
+++ b/internal/web/responder/golden_test.go
@@ -40,6 +40,6 @@
 	}
 	recorded := httptest.NewRecorder()
 	responder.Write(recorded, 200, make(chan int)) // nothing that JSON can hold
-	transcriber.Compare(t, "problems.txt", out+transcriber.Response(recorded))
+	transcriber.RequireFile(t, "problems.txt", out+transcriber.Response(recorded))
 	transcriber.RoundTrip[responder.Problem](t, "problem")
 }
--- a/internal/workflow/driver/calls.go
+++ b/internal/workflow/driver/calls.go
@@ -69,7 +69,7 @@
 func (d *Driver) Cancel(ctx context.Context, id cottonlanding.WorkflowID) error {
 	var referred *ReferredError
 	err := d.ask(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
-		if to, found := cell.Referral(id); found && !cell.Pending(id) {
+		if to, found := cell.Referral(id); found && !cell.HandOverPending(id) {
 			referred = &ReferredError{to}
 			cell.Refer(id, to, now, done)
 			return
@@ -175,7 +175,7 @@
 func (d *Driver) SettleReferral(id cottonlanding.WorkflowID, known bool) {
 	err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) {
 		if known {
-			cell.KeepReferral(id, now)
+			cell.RenewReferral(id, now)
 			return
 		}
 		cell.ForgetReferral(id)
--- a/internal/workflow/driver/delegation.go
+++ b/internal/workflow/driver/delegation.go
@@ -25,11 +25,11 @@
 	}
 	if now-d.delegatedAt >= delegateEvery {
 		d.delegatedAt = now
-		for _, delegation := range d.deps.Delegate(d.cell.Delegables(delegablesSeen, d.deps.Home, now)) {
+		for _, delegation := range d.deps.Delegate(d.cell.DelegableTasks(delegablesSeen, d.deps.Home, now)) {
 			d.cell.Delegate(delegation.Ref, delegation.To, now)
 		}
 	}
-	if !d.asksGuests && d.cell.Delegating() {
+	if !d.asksGuests && d.cell.HasDelegations() {
 		d.asksGuests = true
 		d.work.Go(d.askGuests)
 	}
@@ -73,7 +73,7 @@
 func (g *guestCell) ask(workflows []planner.DelegatedWorkflow) {
 	for range 2 {
 		ctx, cancel := context.WithTimeout(g.driver.ctx, callTimeout.Duration())
-		answer, err := g.driver.deps.AskGuests(ctx, g.cell, planner.DelegationQuestion{Keeper: g.driver.deps.Cell, Last: g.last, Workflows: workflows})
+		answer, err := g.driver.deps.AskGuests(ctx, g.cell, planner.DelegationRequest{Delegator: g.driver.deps.Cell, Last: g.last, Workflows: workflows})
 		cancel()
 		g.recordSilent(err)
 		if err != nil {
@@ -81,7 +81,7 @@
 		}
 		known := answer.Stamp.Epoch == g.last.Epoch
 		g.last = answer.Stamp
-		if err := g.driver.with(func(cell *planner.Cell, now cottonlanding.Millis) { cell.Reported(g.cell, answer, now) }); err != nil {
+		if err := g.driver.with(func(cell *planner.Cell, now cottonlanding.Millis) { cell.RecordDelegationResponse(g.cell, answer, now) }); err != nil {
 			return // it isn't owned any more
 		}
 		g.driver.decisionsDue.Wake()
@@ -106,9 +106,11 @@
 }
 
 // HoldGuests answers a cell about the tasks that this one is to run for it.
-func (d *Driver) HoldGuests(question planner.DelegationQuestion) (planner.DelegationAnswer, error) {
-	var answer planner.DelegationAnswer
-	err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) { answer = cell.HoldGuests(question, now) })
+func (d *Driver) HoldGuests(question planner.DelegationRequest) (planner.DelegationResponse, error) {
+	var answer planner.DelegationResponse
+	err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) {
+		answer = cell.HandleDelegationRequest(question, now)
+	})
 	if err == nil {
 		d.decisionsDue.Wake()
 	}
@@ -119,13 +121,13 @@
 // that keep their workflows.
 func (d *Driver) ForgottenGuests(most int) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	return query(d, func(cell *planner.Cell, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
-		return cell.ForgottenGuests(most, now)
+		return cell.UnconfirmedDelegated(most, now)
 	})
 }
 
 // SettleGuest takes in whether the workflow of a guest goes on.
 func (d *Driver) SettleGuest(id cottonlanding.WorkflowID, goesOn bool) {
-	if err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) { cell.SettleGuest(id, goesOn, now) }); err != nil {
+	if err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) { cell.ResolveDelegated(id, goesOn, now) }); err != nil {
 		return // the next owner asks again
 	}
 	d.decisionsDue.Wake()
--- a/internal/workflow/driver/driver.go
+++ b/internal/workflow/driver/driver.go
@@ -81,9 +81,9 @@
 	// Deliver tells another cell of a workflow that it is to keep.
 	Deliver func(ctx context.Context, workflow cottonlanding.Workflow, to cottonlanding.CellNumber) error
 	// Delegate returns the cells that are to run tasks which wait without room here.
-	Delegate func([]planner.Delegable) []planner.Delegation
+	Delegate func([]planner.DelegableTask) []planner.Delegation
 	// AskGuests asks another cell about the tasks that it is to run for this one.
-	AskGuests func(ctx context.Context, to cottonlanding.CellNumber, question planner.DelegationQuestion) (planner.DelegationAnswer, error)
+	AskGuests func(ctx context.Context, to cottonlanding.CellNumber, question planner.DelegationRequest) (planner.DelegationResponse, error)
 	// Home reports whether this cell is the home of a workflow.
 	Home func(cottonlanding.WorkflowID) bool
 	// Siblings returns the partitions of all other cells.
@@ -343,7 +343,7 @@
 			d.mu.Lock()
 			d.cell.Committed(plan, result.receipt.Version)
 			d.cell.SetTableSlow(d.deps.Clock.Now()-began >= slowCommit)
-			if d.cell.TakeGuestNews() {
+			if d.cell.TakeDelegationChange() {
 				d.guestsDue.Wake()
 			}
 			d.wakeAttendants()
--- a/internal/workflow/driver/handover.go
+++ b/internal/workflow/driver/handover.go
@@ -31,7 +31,7 @@
 	}
 	d.movedAt = now
 	moved := 0
-	for _, workflow := range d.cell.Leavers(leaversSeen, now) {
+	for _, workflow := range d.cell.HandOverCandidates(leaversSeen, now) {
 		if moved >= movesAtOnce || !d.deps.Home(workflow.ID) {
 			continue
 		}
@@ -60,7 +60,7 @@
 
 func (d *Driver) handovers() map[cottonlanding.CellNumber][]cottonlanding.Workflow {
 	return query(d, func(cell *planner.Cell, _ cottonlanding.Millis) map[cottonlanding.CellNumber][]cottonlanding.Workflow {
-		return cell.Handovers()
+		return cell.PendingHandOvers()
 	})
 }
 
@@ -82,7 +82,7 @@
 		d.deps.Log.Warn("handed over workflow isn't taken yet", "Workflow", workflow.ID, "To", to, "Error", err)
 		return
 	}
-	if err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) { cell.HandedOver(workflow.ID, now) }); err != nil {
+	if err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) { cell.HandOverAccepted(workflow.ID, now) }); err != nil {
 		return // the next owner tells it again
 	}
 	d.decisionsDue.Wake()
--- a/internal/workflow/driver/load.go
+++ b/internal/workflow/driver/load.go
@@ -48,7 +48,7 @@
 	if err := cell.Load(rows.specs, rows.states, now); err != nil {
 		return nil, err
 	}
-	if err := cell.LoadGuests(rows.guests, now); err != nil {
+	if err := cell.LoadDelegated(rows.guests, now); err != nil {
 		return nil, err
 	}
 	if err := cell.LoadReferrals(rows.referrals, now); err != nil {
@@ -81,10 +81,10 @@
 	at := d.setup.Partition
 	var reads errgroup.Group
 	for prefix, into := range map[cottonlanding.Key]*[]cottonlanding.Row{
-		planner.SpecKey(at, ""):     &rows.specs,
-		planner.StateKey(at, ""):    &rows.states,
-		planner.GuestsKey(at):       &rows.guests,
-		planner.ReferralKey(at, ""): &rows.referrals,
+		planner.SpecKey(at, ""):      &rows.specs,
+		planner.StateKey(at, ""):     &rows.states,
+		planner.DelegatedRowsKey(at): &rows.guests,
+		planner.ReferralKey(at, ""):  &rows.referrals,
 	} {
 		reads.Go(func() (err error) {
 			*into, err = d.scan(prefix, page)
--- a/internal/workflow/driver/siblings.go
+++ b/internal/workflow/driver/siblings.go
@@ -24,7 +24,7 @@
 func (d *Driver) weighs() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.cell != nil && d.cell.Weighs()
+	return d.cell != nil && d.cell.HasImages()
 }
 
 // readSiblings reads what other cells have learnt. Of a cell whose row can't be read nothing
@@ -47,7 +47,7 @@
 	if d.cell == nil || len(rows) == 0 {
 		return
 	}
-	if err := d.cell.ShareLearnt(rows); err != nil {
+	if err := d.cell.LoadLearntByOthers(rows); err != nil {
 		d.deps.Log.Warn("what other cells have learnt is left out", "Error", err)
 	}
 }
--- a/internal/workflow/driver/silentcell_test.go
+++ b/internal/workflow/driver/silentcell_test.go
@@ -87,26 +87,26 @@
 		}
 		silent := make(chan struct{})
 		o := newOwner(t, setup{workers: 1, room: 1, policy: spread(), amend: func(deps *driver.Dependencies) {
-			deps.Delegate = func(tasks []planner.Delegable) (out []planner.Delegation) {
+			deps.Delegate = func(tasks []planner.DelegableTask) (out []planner.Delegation) {
 				for _, task := range tasks {
 					to, _ := cells.next()
 					out = append(out, planner.Delegation{Ref: task.Ref, To: to})
 				}
 				return out
 			}
-			deps.AskGuests = func(ctx context.Context, to cottonlanding.CellNumber, _ planner.DelegationQuestion) (planner.DelegationAnswer, error) {
+			deps.AskGuests = func(ctx context.Context, to cottonlanding.CellNumber, _ planner.DelegationRequest) (planner.DelegationResponse, error) {
 				if to == silentCell {
 					select {
 					case silent <- struct{}{}:
 					default:
 					}
 					<-ctx.Done()
-					return planner.DelegationAnswer{}, ctx.Err()
+					return planner.DelegationResponse{}, ctx.Err()
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				asked = append(asked, time.Now())
-				return planner.DelegationAnswer{Stamp: planner.DelegationStamp{Epoch: 1}}, nil
+				return planner.DelegationResponse{Stamp: planner.DelegationStamp{Epoch: 1}}, nil
 			}
 		}})
 		defer o.driver.Close()
--- a/internal/workflow/gateway/asking.go
+++ b/internal/workflow/gateway/asking.go
@@ -205,7 +205,7 @@
 	if len(rows) == 0 {
 		return "", fmt.Errorf("workflow %s: %w", id, cottonlanding.ErrNotFound)
 	}
-	to, pending, err := planner.ReferralOf(rows[0])
+	to, pending, err := planner.DecodeReferral(rows[0])
 	if err != nil {
 		return "", err
 	}
--- a/internal/workflow/gateway/delegation.go
+++ b/internal/workflow/gateway/delegation.go
@@ -16,7 +16,7 @@
 const logUnhostedEvery = 4 * cottonlanding.Second
 
 // delegate returns the cells that are to run tasks for which this cell has no room.
-func (s *seat) delegate(tasks []planner.Delegable) []planner.Delegation {
+func (s *seat) delegate(tasks []planner.DelegableTask) []planner.Delegation {
 	policy := s.gateway.settings.Policy.Delegation
 	if policy == nil || len(tasks) == 0 {
 		return nil
@@ -43,7 +43,7 @@
 
 // candidatesFor returns the cells that can run the task: those with room in sum or, if there are none, those of which
 // a worker has a hole that is large enough. What waits in these is too large for it, or would be there by now.
-func candidatesFor(task planner.Delegable, others []otherCell) []cottonlanding.CellView {
+func candidatesFor(task planner.DelegableTask, others []otherCell) []cottonlanding.CellView {
 	var inSum, inHoles []cottonlanding.CellView
 	for _, other := range others {
 		view := other.CellView
@@ -63,7 +63,7 @@
 }
 
 // hasRoomInSum reports whether the cell has room beside all that runs and waits there.
-func (o otherCell) hasRoomInSum(task planner.Delegable) bool {
+func (o otherCell) hasRoomInSum(task planner.DelegableTask) bool {
 	return o.Free > 0 && o.holds(task.Need.CPU)
 }
 
@@ -84,7 +84,7 @@
 )
 
 // obstacle returns why the cell can't run a task of another one, or noObstacle.
-func (o otherCell) obstacle(task planner.Delegable) obstacle {
+func (o otherCell) obstacle(task planner.DelegableTask) obstacle {
 	switch {
 	case !o.Usable:
 		return unknownRoom
@@ -99,7 +99,7 @@
 }
 
 // logUnhosted logs from time to time why no other cell can run a task, with the cells by obstacle.
-func (s *seat) logUnhosted(task planner.Delegable, others []otherCell) {
+func (s *seat) logUnhosted(task planner.DelegableTask, others []otherCell) {
 	now := s.gateway.deps.Clock.Now()
 	s.mu.Lock()
 	due := s.unhostedAt == 0 || now-s.unhostedAt >= logUnhostedEvery
@@ -118,26 +118,26 @@
 }
 
 // recordDelegated takes in that a task was delegated to this cell.
-func (s *seat) recordDelegated(task planner.Delegable, now cottonlanding.Millis) {
+func (s *seat) recordDelegated(task planner.DelegableTask, now cottonlanding.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.referred = append(s.referred, referredWork{at: now, delegated: task.Need.CPU, service: task.Service})
 }
 
 // askGuests asks another cell about the tasks that it is to run for this one.
-func (s *seat) askGuests(ctx context.Context, to cottonlanding.CellNumber, question planner.DelegationQuestion) (planner.DelegationAnswer, error) {
+func (s *seat) askGuests(ctx context.Context, to cottonlanding.CellNumber, question planner.DelegationRequest) (planner.DelegationResponse, error) {
 	guest := s.gateway.seat(to)
 	if guest == nil {
-		return planner.DelegationAnswer{}, fmt.Errorf("cell %s isn't known here: %w", to, cottonlanding.ErrUnavailable)
+		return planner.DelegationResponse{}, fmt.Errorf("cell %s isn't known here: %w", to, cottonlanding.ErrUnavailable)
 	}
 	if local := guest.local(); local != nil {
 		return local.HoldGuests(question)
 	}
 	data, err := json.Marshal(question)
 	if err != nil {
-		return planner.DelegationAnswer{}, fmt.Errorf("%w: %w", cottonlanding.ErrCannotRun, err)
+		return planner.DelegationResponse{}, fmt.Errorf("%w: %w", cottonlanding.ErrCannotRun, err)
 	}
-	var answer planner.DelegationAnswer
+	var answer planner.DelegationResponse
 	_, err = guest.ask(ctx, func(ctx context.Context, owner wire.WorkflowsClient) (*wire.WorkflowReply, error) {
 		reply, err := owner.Guests(ctx, &wire.GuestQuestion{Question: data, Cell: int32(to)})
 		if err != nil {
@@ -162,7 +162,7 @@
 }
 
 func (s *peerServer) answerGuests(request *wire.GuestQuestion) ([]byte, error) {
-	var question planner.DelegationQuestion
+	var question planner.DelegationRequest
 	if err := json.Unmarshal(request.GetQuestion(), &question); err != nil {
 		return nil, fmt.Errorf("%w: %w", cottonlanding.ErrCannotRun, err)
 	}
--- a/internal/workflow/planner/cell.go
+++ b/internal/workflow/planner/cell.go
@@ -84,9 +84,9 @@
 	// remote holds the workflows of which other cells may run tasks.
 	remote map[cottonlanding.WorkflowID]*job
 	// interruptedCursor and delegableCursor are where Delegables goes on.
-	interruptedCursor, delegableCursor taskTurns
+	interruptedCursor, delegableCursor taskCursor
 	// unheardCursor is where leaveUnheard goes on.
-	unheardCursor taskTurns
+	unheardCursor taskCursor
 	// delegationChanged says that something was committed that guest cells are to be told.
 	delegationChanged bool
 	// report is what was left of the cell at reportedAt, if it had usable workers.
--- /dev/null
+++ b/internal/workflow/planner/delegated.go
@@ -0,0 +1,249 @@
+package planner
+
+import (
+	"slices"
+	"strings"
+
+	"github.com/cottonlanding/cottonlanding"
+)
+
+// A guest is a workflow of which this cell runs single tasks for the cell that keeps it
+// (delegation.go). Its rows are like those of the workflows that the cell keeps, under a prefix of their
+// own: they name the keeper, and tasks that this cell doesn't hold are marked as run elsewhere.
+
+const (
+	// taskNotHeld is the state of a guest's task that this cell doesn't hold. Its number is that with
+	// which the cell has returned it, zero if it never held it.
+	taskNotHeld taskState = "E"
+	// confirmationTTL is how long after the keeper said that a workflow goes on its tasks may be started here:
+	// well below the time within which nothing of a cancelled workflow may start any more.
+	confirmationTTL = 1500 * cottonlanding.Millis(1)
+	// returnAfter is how long a guest's task waits for room here before it goes back to its keeper.
+	returnAfter = 800 * cottonlanding.Millis(1)
+	// confirmationCheckAfter is how long a keeper asks nothing about a guest before it is asked for it: its
+	// workflow may have ended while nothing of it was held here.
+	confirmationCheckAfter = 30 * cottonlanding.Second
+)
+
+// delegatedRowsPrefix begins the names of guests' rows.
+const delegatedRowsPrefix = "Guests/"
+
+// DelegatedRowsKey returns the prefix of the keys of all guests' rows.
+func DelegatedRowsKey(p cottonlanding.Partition) cottonlanding.Key { return p.Key(delegatedRowsPrefix) }
+
+// rowKeys returns the keys of the rows of a workflow's specification and state.
+func (c *Cell) rowKeys(j *job) (spec, state cottonlanding.Key) {
+	if j.isDelegatedHere() {
+		return c.setup.Partition.Key(delegatedRowsPrefix + specPrefix + string(j.ID)), c.setup.Partition.Key(delegatedRowsPrefix + statePrefix + string(j.ID))
+	}
+	return SpecKey(c.setup.Partition, j.ID), StateKey(c.setup.Partition, j.ID)
+}
+
+// LoadDelegated is Load for the rows of guests, of both kinds.
+func (c *Cell) LoadDelegated(rows []cottonlanding.Row, now cottonlanding.Millis) error {
+	specsAt := c.setup.Partition.Key(delegatedRowsPrefix + specPrefix)
+	var specs, states []cottonlanding.Row
+	for _, row := range rows {
+		if strings.HasPrefix(string(row.Key), string(specsAt)) {
+			specs = append(specs, row)
+			continue
+		}
+		states = append(states, row)
+	}
+	return c.Load(specs, states, now)
+}
+
+// isDelegatedHere reports whether another cell keeps the workflow.
+func (j *job) isDelegatedHere() bool { return j.delegatedBy != nil }
+
+// mayStart reports whether tasks of the workflow may be started: always, but those of a guest only
+// while its keeper has said so lately.
+func (j *job) mayStart(now cottonlanding.Millis) bool {
+	return !j.isDelegatedHere() || j.confirmedAt > 0 && now-j.confirmedAt < confirmationTTL
+}
+
+// remote reports whether another cell may run the task.
+func (t *task) remote() bool {
+	_, found := t.delegateCell()
+	return found || t.state == taskNotHeld
+}
+
+// endedMessage returns the log line of the workflow's end.
+func (j *job) endedMessage() string {
+	if j.isDelegatedHere() {
+		return "guest ended"
+	}
+	return "workflow ended"
+}
+
+// HandleDelegationRequest takes in what a keeper asks, and returns what is known here of each workflow.
+func (c *Cell) HandleDelegationRequest(request DelegationRequest, now cottonlanding.Millis) DelegationResponse {
+	response := DelegationResponse{Stamp: DelegationStamp{Epoch: c.setup.Epoch, At: now}}
+	for _, asked := range request.Workflows {
+		if asked.Over {
+			response.Reports = append(response.Reports, c.endDelegated(asked.Workflow.ID, now))
+			continue
+		}
+		j := c.holdDelegated(request.Delegator, asked, now)
+		if j == nil {
+			continue
+		}
+		if request.Last.Epoch == c.setup.Epoch {
+			j.confirmedAt = max(j.confirmedAt, request.Last.At)
+		}
+		response.Reports = append(response.Reports, c.reportDelegated(j, asked.Tasks, now))
+	}
+	return response
+}
+
+// holdDelegated takes the tasks that are asked about and aren't held yet. It returns nil for a workflow that
+// can't be a guest here.
+func (c *Cell) holdDelegated(delegator cottonlanding.CellNumber, asked DelegatedWorkflow, now cottonlanding.Millis) *job {
+	j := c.jobs[asked.Workflow.ID]
+	if j == nil {
+		j = c.addDelegated(delegator, asked, now)
+	}
+	if j == nil || !j.isDelegatedHere() || *j.delegatedBy != delegator {
+		c.log.Error("guest not taken", "Workflow", asked.Workflow.ID, "Keeper", delegator)
+		return nil
+	}
+	if j.state.Final() {
+		return j
+	}
+	for _, requested := range asked.Tasks {
+		if t := j.task(requested.Ref); t != nil && t.state == taskNotHeld && requested.Number >= t.number {
+			c.acceptDelegatedTask(t, requested, now)
+		}
+	}
+	return j
+}
+
+// addDelegated begins to hold a workflow for its keeper, without any of its tasks. It returns nil for one that
+// can't be kept in a row.
+func (c *Cell) addDelegated(delegator cottonlanding.CellNumber, asked DelegatedWorkflow, now cottonlanding.Millis) *job {
+	queue, known := c.queues.Queues[asked.Workflow.Queue]
+	if !known {
+		queue = asked.Queue
+	}
+	spec, err := encodeSpec(asked.Workflow, queue)
+	if err != nil {
+		return nil
+	}
+	j := newJob(asked.Workflow, queue, now)
+	j.spec, j.delegatedBy, j.placed, j.state = spec, &delegator, true, cottonlanding.WorkflowRunning
+	j.eachTask(func(t *task) { t.setRemote(taskNotHeld) })
+	c.addJob(j)
+	c.markDirty(j)
+	c.log.Info("guest accepted", "Workflow", j.ID, "Keeper", delegator, "Epoch", c.setup.Epoch)
+	return j
+}
+
+// acceptDelegatedTask begins to hold a task for its keeper.
+func (c *Cell) acceptDelegatedTask(t *task, requested DelegatedTask, now cottonlanding.Millis) {
+	t.setRemote(taskWaiting)
+	t.number, t.crashes, t.waitingSince, t.lastRunningAt = requested.Number, requested.Crashes, now, 0
+	t.stage.ready = true
+	t.adoptCheckpoint(requested, now)
+	c.recordDelegatedDown(t, now)
+	c.markDirty(t.job)
+	c.reportedAt = 0
+	c.log.Info("guest task accepted", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.delegatedBy)
+}
+
+// reportDelegated returns what is known of the tasks of a guest. That a task is returned, or that the workflow is
+// given up, is told once it is committed.
+func (c *Cell) reportDelegated(j *job, asked []DelegatedTask, now cottonlanding.Millis) DelegatedWorkflowReport {
+	report := DelegatedWorkflowReport{ID: j.ID}
+	if j.committedState == cottonlanding.WorkflowFailed {
+		report.Failed = j.reason
+	}
+	for _, requested := range asked {
+		t := j.task(requested.Ref)
+		if t == nil || t.state == taskNotHeld && c.uncommitted(j) {
+			continue
+		}
+		report.Tasks = append(report.Tasks, DelegatedTask{
+			Ref:        t.ref,
+			Number:     t.number,
+			Returned:   t.state == taskNotHeld,
+			Running:    t.run != nil && t.run.phase == started,
+			Waited:     now - t.waitingSince,
+			Crashes:    t.crashes,
+			Checkpoint: t.checkpoint.text,
+		})
+	}
+	return report
+}
+
+// uncommitted reports whether the job has changes that aren't in the table for sure.
+func (c *Cell) uncommitted(j *job) bool {
+	return !j.persisted || c.dirty[j.ID] != nil || c.inFlight != nil && c.inFlight.includes(j.ID)
+}
+
+// endDelegated stops what is held of a workflow that is over.
+func (c *Cell) endDelegated(id cottonlanding.WorkflowID, now cottonlanding.Millis) DelegatedWorkflowReport {
+	j := c.jobs[id]
+	if j == nil || !j.isDelegatedHere() {
+		return DelegatedWorkflowReport{ID: id, Ended: true}
+	}
+	if !j.state.Final() {
+		c.end(j, cottonlanding.WorkflowCancelled, "its workflow has ended", now)
+	}
+	return DelegatedWorkflowReport{ID: id, Ended: j.committedState.Final()}
+}
+
+// returnDelegatedTasks gives tasks back for which there is no room here either.
+func (c *Cell) returnDelegatedTasks(now cottonlanding.Millis) {
+	for _, j := range c.openJobs {
+		if !j.isDelegatedHere() || !j.mayStart(now) {
+			continue // its keeper may have nobody who could take a task back
+		}
+		j.eachTask(func(t *task) {
+			if t.state == taskWaiting && now-t.waitingSince >= returnAfter {
+				c.returnDelegatedTask(t, now)
+			}
+		})
+	}
+}
+
+// returnDelegatedTask gives a task back. Its number rises by one, so that no older question has it taken again.
+func (c *Cell) returnDelegatedTask(t *task, now cottonlanding.Millis) {
+	t.setRemote(taskNotHeld)
+	t.number++
+	c.markDirty(t.job)
+	c.reportedAt = 0
+	c.log.Info("guest task returned", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.delegatedBy, "Waited", now-t.waitingSince)
+}
+
+// markDelegatedReady marks the steps of which this cell holds tasks: their keeper has found them ready.
+func (r *round) markDelegatedReady() {
+	for _, s := range r.steps {
+		held := slices.ContainsFunc(s.tasks, func(t *task) bool { return t.state != taskNotHeld })
+		s.ready = s.ready || held && s.tasks[0].job.isDelegatedHere()
+	}
+}
+
+// UnconfirmedDelegated returns up to a number of guests about which their keepers have long asked nothing, with
+// these keepers.
+func (c *Cell) UnconfirmedDelegated(most int, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
+	out := make(map[cottonlanding.WorkflowID]cottonlanding.CellNumber)
+	for _, j := range c.openJobs {
+		if len(out) < most && j.isDelegatedHere() && now-max(j.confirmedAt, j.accepted) >= confirmationCheckAfter {
+			out[j.ID] = *j.delegatedBy
+		}
+	}
+	return out
+}
+
+// ResolveDelegated takes in whether the workflow of a guest goes on, by its keeper.
+func (c *Cell) ResolveDelegated(id cottonlanding.WorkflowID, goesOn bool, now cottonlanding.Millis) {
+	j := c.jobs[id]
+	if j == nil || !j.isDelegatedHere() || j.state.Final() {
+		return
+	}
+	if goesOn {
+		j.accepted = now // asked again after as long
+		return
+	}
+	c.end(j, cottonlanding.WorkflowCancelled, "its workflow has ended", now)
+}
--- a/internal/workflow/planner/delegation.go
+++ b/internal/workflow/planner/delegation.go
@@ -32,9 +32,9 @@
 const (
 	// delegateAfter is how long a task waits before it is delegated: long enough for runs that end to make
 	// room, and well below the time within which an interrupted task must run again.
-	delegateAfter = moveAfter
-	// avoidFor is how long a cell is passed over for a task that it has returned.
-	avoidFor = 5 * cottonlanding.Second
+	delegateAfter = handOverAfter
+	// returnedCellBackoff is how long a cell is passed over for a task that it has returned.
+	returnedCellBackoff = 5 * cottonlanding.Second
 	// delegatedPrefix begins the state of a task that another cell runs; the number of that cell follows.
 	// Code that doesn't know of delegation neither places nor ends such a task, and writes its state back.
 	delegatedPrefix = "L"
@@ -71,16 +71,16 @@
 	At    cottonlanding.Millis
 }
 
-// DelegationQuestion is what a keeper asks a guest cell.
-type DelegationQuestion struct {
-	Keeper cottonlanding.CellNumber
+// DelegationRequest is what a keeper asks a guest cell.
+type DelegationRequest struct {
+	Delegator cottonlanding.CellNumber
 	// Last is the stamp of the last answer that this keeper's owner got.
 	Last      DelegationStamp `json:",omitzero"`
 	Workflows []DelegatedWorkflow
 }
 
-// GuestReport is what a guest cell knows of a workflow that was asked about.
-type GuestReport struct {
+// DelegatedWorkflowReport is what a guest cell knows of a workflow that was asked about.
+type DelegatedWorkflowReport struct {
 	ID cottonlanding.WorkflowID
 	// Ended says that the guest cell has ended what it held of the workflow, for good.
 	Ended bool `json:",omitempty"`
@@ -89,14 +89,14 @@
 	Tasks  []DelegatedTask
 }
 
-// DelegationAnswer is what a guest cell answers.
-type DelegationAnswer struct {
+// DelegationResponse is what a guest cell answers.
+type DelegationResponse struct {
 	Stamp   DelegationStamp
-	Reports []GuestReport
+	Reports []DelegatedWorkflowReport
 }
 
-// Delegable is a task that may be delegated.
-type Delegable struct {
+// DelegableTask is a task that may be delegated.
+type DelegableTask struct {
 	Ref     cottonlanding.TaskRef
 	Service cottonlanding.ServiceName
 	Need    cottonlanding.Resources
@@ -110,13 +110,13 @@
 	To  cottonlanding.CellNumber
 }
 
-// delegatedTo returns the state of a task that another cell runs.
-func delegatedTo(cell cottonlanding.CellNumber) taskState {
+// delegatedState returns the state of a task that another cell runs.
+func delegatedState(cell cottonlanding.CellNumber) taskState {
 	return taskState(delegatedPrefix + strconv.Itoa(int(cell)))
 }
 
-// guestCell returns the cell that runs the task, if that isn't this one.
-func (t *task) guestCell() (cottonlanding.CellNumber, bool) {
+// delegateCell returns the cell that runs the task, if that isn't this one.
+func (t *task) delegateCell() (cottonlanding.CellNumber, bool) {
 	digits, found := strings.CutPrefix(string(t.state), delegatedPrefix)
 	if !found {
 		return 0, false
@@ -125,15 +125,15 @@
 	return cottonlanding.CellNumber(number), err == nil
 }
 
-// setAway changes the state of a task without a run to or from one that isn't run here.
-func (t *task) setAway(state taskState) {
+// setRemote changes the state of a task without a run to or from one that isn't run here.
+func (t *task) setRemote(state taskState) {
 	t.job.size.remote += len(state) - len(t.state)
 	t.state = state
 }
 
-// Delegables returns up to a number of lasting tasks that wait without room here, those that had a run first; if there
+// DelegableTasks returns up to a number of lasting tasks that wait without room here, those that had a run first; if there
 // are more, others the next time. Workflows of which nothing was placed are left out where they can be handed over whole.
-func (c *Cell) Delegables(most int, home func(cottonlanding.WorkflowID) bool, now cottonlanding.Millis) []Delegable {
+func (c *Cell) DelegableTasks(most int, home func(cottonlanding.WorkflowID) bool, now cottonlanding.Millis) []DelegableTask {
 	var interrupted, others []*task
 	for _, j := range c.openJobs {
 		if !j.hasLasting || !j.placed && home(j.ID) || !c.mayDelegate(j) {
@@ -149,20 +149,20 @@
 			}
 		})
 	}
-	chosen := c.interruptedCursor.take(interrupted, most)
-	chosen = append(chosen, c.delegableCursor.take(others, most-len(chosen))...)
-	var out []Delegable
+	chosen := c.interruptedCursor.nextTasks(interrupted, most)
+	chosen = append(chosen, c.delegableCursor.nextTasks(others, most-len(chosen))...)
+	var out []DelegableTask
 	for _, t := range chosen {
-		out = append(out, Delegable{Ref: t.ref, Service: t.job.queue.Service, Need: t.stage.Reserved(), Avoid: t.avoided(now)})
+		out = append(out, DelegableTask{Ref: t.ref, Service: t.job.queue.Service, Need: t.stage.Reserved(), Avoid: t.avoidedCells(now)})
 	}
 	return out
 }
 
-// taskTurns goes through tasks some at a time, so that each has its turn.
-type taskTurns struct{ next int }
+// taskCursor goes through tasks some at a time, so that each has its turn.
+type taskCursor struct{ next int }
 
-// take returns up to a number of tasks, beginning after those that it returned last.
-func (r *taskTurns) take(tasks []*task, most int) []*task {
+// nextTasks returns up to a number of tasks, beginning after those that it returned last.
+func (r *taskCursor) nextTasks(tasks []*task, most int) []*task {
 	count := min(len(tasks), most)
 	if count == 0 {
 		return nil
@@ -177,7 +177,7 @@
 	if _, known := c.queues.Queues[j.Queue]; !known {
 		return false // it is to run down
 	}
-	ends := j.state.Final() || j.Schedule.Rounds > 0 || j.isGuest()
+	ends := j.state.Final() || j.Schedule.Rounds > 0 || j.isDelegatedHere()
 	return !ends && j.persisted && rowFits(j.Workflow, maxLifeBytes)
 }
 
@@ -187,11 +187,11 @@
 	return single && t.stage.ready && t.state == taskWaiting && now-max(t.waitingSince, t.returnedAt) >= delegateAfter
 }
 
-// avoided returns the cells that have returned the task lately.
-func (t *task) avoided(now cottonlanding.Millis) []cottonlanding.CellNumber {
+// avoidedCells returns the cells that have returned the task lately.
+func (t *task) avoidedCells(now cottonlanding.Millis) []cottonlanding.CellNumber {
 	var out []cottonlanding.CellNumber
 	for cell, at := range t.returnedBy {
-		if now-at < avoidFor {
+		if now-at < returnedCellBackoff {
 			out = append(out, cell)
 		}
 	}
@@ -201,12 +201,12 @@
 // Delegate has another cell run a task that Delegables has returned just now.
 func (c *Cell) Delegate(ref cottonlanding.TaskRef, to cottonlanding.CellNumber, now cottonlanding.Millis) {
 	t := c.jobs[ref.Workflow].task(ref)
-	state := delegatedTo(to)
+	state := delegatedState(to)
 	if !t.job.hasRoomForLives(len(state)) {
 		c.logRowFull(t, now)
 		return
 	}
-	t.setAway(state)
+	t.setRemote(state)
 	t.delegationCommitted = false
 	c.remote[t.job.ID] = t.job
 	c.markDirty(t.job)
@@ -215,15 +215,15 @@
 	c.log.Info("task delegated", "Task", ref.String(), "Run", t.number, "To", to, "Waited", now-t.waitingSince, "CPU", int64(t.stage.Reserved().CPU))
 }
 
-// Delegating reports whether other cells may run tasks of this one.
-func (c *Cell) Delegating() bool { return len(c.remote) > 0 }
+// HasDelegations reports whether other cells may run tasks of this one.
+func (c *Cell) HasDelegations() bool { return len(c.remote) > 0 }
 
-// TakeGuestNews reports whether a delegation, or the end of a workflow with such, was committed since it was last called:
+// TakeDelegationChange reports whether a delegation, or the end of a workflow with such, was committed since it was last called:
 // what guest cells are to be told at once.
-func (c *Cell) TakeGuestNews() bool {
-	news := c.delegationChanged
+func (c *Cell) TakeDelegationChange() bool {
+	changed := c.delegationChanged
 	c.delegationChanged = false
-	return news
+	return changed
 }
 
 // Delegations returns what to ask each cell that runs tasks of this one. Neither a delegation nor
@@ -235,41 +235,41 @@
 		if j.state.Final() && !j.committedState.Final() {
 			continue
 		}
-		for cell, tasks := range j.delegated() {
+		for cell, tasks := range j.delegatedTasks() {
 			out[cell] = append(out[cell], DelegatedWorkflow{Workflow: j.Workflow, Queue: j.queue, Over: j.committedState.Final(), Tasks: tasks})
 		}
 	}
 	return out
 }
 
-// delegated returns the job's tasks that other cells may run.
-func (j *job) delegated() map[cottonlanding.CellNumber][]DelegatedTask {
+// delegatedTasks returns the job's tasks that other cells may run.
+func (j *job) delegatedTasks() map[cottonlanding.CellNumber][]DelegatedTask {
 	out := make(map[cottonlanding.CellNumber][]DelegatedTask)
 	j.eachTask(func(t *task) {
-		if cell, found := t.guestCell(); found && t.delegationCommitted {
+		if cell, found := t.delegateCell(); found && t.delegationCommitted {
 			out[cell] = append(out[cell], DelegatedTask{Ref: t.ref, Number: t.number, Crashes: t.crashes, Checkpoint: t.checkpoint.text})
 		}
 	})
 	return out
 }
 
-// recordBack forgets that tasks of the job are in other cells once none is.
-func (c *Cell) recordBack(j *job) {
-	away := false
+// pruneRemote forgets that tasks of the job are in other cells once none is.
+func (c *Cell) pruneRemote(j *job) {
+	remote := false
 	j.eachTask(func(t *task) {
-		_, found := t.guestCell()
-		away = away || found
+		_, found := t.delegateCell()
+		remote = remote || found
 	})
-	if !away {
+	if !remote {
 		delete(c.remote, j.ID)
 	}
 }
 
-// Reported takes in what a guest cell has answered.
-func (c *Cell) Reported(from cottonlanding.CellNumber, answer DelegationAnswer, now cottonlanding.Millis) {
-	for _, report := range answer.Reports {
+// RecordDelegationResponse takes in what a guest cell has answered.
+func (c *Cell) RecordDelegationResponse(from cottonlanding.CellNumber, response DelegationResponse, now cottonlanding.Millis) {
+	for _, report := range response.Reports {
 		j := c.jobs[report.ID]
-		if j == nil || j.isGuest() {
+		if j == nil || j.isDelegatedHere() {
 			continue
 		}
 		if report.Failed != "" && !j.state.Final() {
@@ -277,65 +277,65 @@
 			c.end(j, cottonlanding.WorkflowFailed, report.Failed, now)
 		}
 		if report.Ended && j.state.Final() {
-			c.forgetDelegated(j, from)
+			c.forgetDelegatedTasks(j, from)
 			continue
 		}
-		for _, told := range report.Tasks {
-			c.takeReport(j, from, told, now)
+		for _, reported := range report.Tasks {
+			c.recordTaskReport(j, from, reported, now)
 		}
 	}
 }
 
-// forgetDelegated notes that a cell has ended what it held of a workflow that is over.
-func (c *Cell) forgetDelegated(j *job, cell cottonlanding.CellNumber) {
+// forgetDelegatedTasks notes that a cell has ended what it held of a workflow that is over.
+func (c *Cell) forgetDelegatedTasks(j *job, cell cottonlanding.CellNumber) {
 	j.eachTask(func(t *task) {
-		if at, found := t.guestCell(); found && at == cell {
-			t.setAway(taskWaiting)
+		if at, found := t.delegateCell(); found && at == cell {
+			t.setRemote(taskWaiting)
 			c.markDirty(j)
 		}
 	})
-	c.recordBack(j)
+	c.pruneRemote(j)
 }
 
-// takeReport takes in what a guest cell knows of a task.
-func (c *Cell) takeReport(j *job, from cottonlanding.CellNumber, told DelegatedTask, now cottonlanding.Millis) {
-	t := j.task(told.Ref)
+// recordTaskReport takes in what a guest cell knows of a task.
+func (c *Cell) recordTaskReport(j *job, from cottonlanding.CellNumber, reported DelegatedTask, now cottonlanding.Millis) {
+	t := j.task(reported.Ref)
 	if t == nil {
 		return
 	}
-	if at, found := t.guestCell(); !found || at != from || told.Number < t.number {
+	if at, found := t.delegateCell(); !found || at != from || reported.Number < t.number {
 		return // an answer that was overtaken
 	}
-	if told.Running {
+	if reported.Running {
 		t.lastRunningAt = now
-		c.recordDelegateRuns(j)
-		c.recordRunsElsewhere(t, told.Number, from, now)
+		c.markStartedRemotely(j)
+		c.recordRunsElsewhere(t, reported.Number, from, now)
 	}
-	if !told.Returned || told.Number == t.number || j.state.Final() {
+	if !reported.Returned || reported.Number == t.number || j.state.Final() {
 		return // or the answer is about an earlier delegation
 	}
-	t.setAway(taskWaiting)
-	t.number, t.crashes = told.Number, told.Crashes
-	t.takeCheckpoint(told, now)
+	t.setRemote(taskWaiting)
+	t.number, t.crashes = reported.Number, reported.Crashes
+	t.adoptCheckpoint(reported, now)
 	if t.returnedBy == nil {
 		t.returnedBy = make(map[cottonlanding.CellNumber]cottonlanding.Millis)
 	}
-	t.returnedBy[from], t.returnedAt, t.waitingSince = now, now, now-told.Waited
+	t.returnedBy[from], t.returnedAt, t.waitingSince = now, now, now-reported.Waited
 	c.recordReturned(t, from, now)
 	c.markDirty(j)
-	c.recordBack(j)
+	c.pruneRemote(j)
 	c.log.Info("delegated task returned", "Task", t.ref.String(), "Run", t.number, "From", from, "Waited", now-t.waitingSince)
 }
 
-// takeCheckpoint takes over the newest text of a task that passes from one cell to another.
-func (t *task) takeCheckpoint(told DelegatedTask, now cottonlanding.Millis) {
-	if told.Checkpoint != "" && t.stage.Checkpoints {
-		t.checkpoint = knownCheckpoint{text: cottonlanding.NewCheckpoint(string(told.Checkpoint)), how: checkpointLoaded, run: told.Number, at: now}
+// adoptCheckpoint takes over the newest text of a task that passes from one cell to another.
+func (t *task) adoptCheckpoint(reported DelegatedTask, now cottonlanding.Millis) {
+	if reported.Checkpoint != "" && t.stage.Checkpoints {
+		t.checkpoint = knownCheckpoint{text: cottonlanding.NewCheckpoint(string(reported.Checkpoint)), how: checkpointLoaded, run: reported.Number, at: now}
 	}
 }
 
-// recordDelegateRuns notes that a task of the workflow runs in another cell.
-func (c *Cell) recordDelegateRuns(j *job) {
+// markStartedRemotely notes that a task of the workflow runs in another cell.
+func (c *Cell) markStartedRemotely(j *job) {
 	j.started = true
 	if j.placed {
 		return
--- a/internal/workflow/planner/delegation_test.go
+++ b/internal/workflow/planner/delegation_test.go
@@ -12,16 +12,16 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestDelegatedTasksRunOnceAndAreNotLost plays random histories of three cells: tasks are delegated to any cell,
+// TestDelegatedTasksRunExactlyOnce plays random histories of three cells: tasks are delegated to any cell,
 // with room or without; questions and answers get lost or come late; workers crash and fall silent; owners
 // change with a commit under way; workflows are cancelled. No task runs twice, none starts long after its
 // workflow was cancelled, each runs again in time once all goes well, and of a cancelled workflow
 // nothing is left in any cell.
-func TestDelegatedTasksRunOnceAndAreNotLost(t *testing.T) {
+func TestDelegatedTasksRunExactlyOnce(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		const mostTasks = 30 // of the 48 for which there is room while all workers are up
-		n := newNeighbours(t, 3, 2)
+		n := newMultiCell(t, 3, 2)
 		homes := make(map[cottonlanding.WorkflowID]int)
 		tasks := make(map[cottonlanding.WorkflowID]int)
 		const first, wide = cottonlanding.WorkflowID("l0"), 20 // for 16 of which the first cell has room
@@ -65,7 +65,7 @@
 			},
 			"delegate": func(t *rapid.T) {
 				cell := cellOf(t)
-				n.delegate(cell, func(planner.Delegable) (int, bool) {
+				n.delegate(cell, func(planner.DelegableTask) (int, bool) {
 					to := cellOf(t)
 					return to, to != cell
 				})
@@ -76,7 +76,7 @@
 				if len(n.late) > 0 {
 					at := rapid.IntRange(0, len(n.late)-1).Draw(t, "Which")
 					sent := n.late[at]
-					n.cells[sent.to].cell.HoldGuests(sent.question, n.cells[sent.to].now)
+					n.cells[sent.to].cell.HandleDelegationRequest(sent.request, n.cells[sent.to].now)
 					if rapid.Bool().Draw(t, "Once") {
 						n.late = slices.Delete(n.late, at, at+1)
 					}
@@ -86,7 +86,7 @@
 				if len(n.overdue) > 0 {
 					sent := n.overdue[0]
 					n.overdue = n.overdue[1:]
-					n.cells[sent.keeper].cell.Reported(cottonlanding.CellNumber(sent.from), sent.answer, n.cells[sent.keeper].now)
+					n.cells[sent.delegator].cell.RecordDelegationResponse(cottonlanding.CellNumber(sent.from), sent.response, n.cells[sent.delegator].now)
 				}
 			},
 			"begin":  func(t *rapid.T) { n.cells[cellOf(t)].makePlan() },
@@ -126,7 +126,7 @@
 			}
 			w.late = nil
 		}
-		for range 4 * runsAgainWithin / 100 { // leases may have to run out first
+		for range 4 * otherCellRestartTimeout / 100 { // leases may have to run out first
 			n.turn(100)
 			n.check(t)
 		}
@@ -150,17 +150,17 @@
 		}
 		require.Zero(t, n.cells[0].runner.Running(), "nothing is left of cancelled workflows")
 		for _, w := range n.cells {
-			require.False(t, w.cell.Delegating())
+			require.False(t, w.cell.HasDelegations())
 		}
 	})
 }
 
-// TestInterruptedTaskLeavesAFullCell: a lasting task that lost its worker waited in its full cell for good, beside
+// TestInterruptedTaskLeavesFullCell: a lasting task that lost its worker waited in its full cell for good, beside
 // cells with room. It runs there in time, also if owners on both sides change meanwhile.
-func TestInterruptedTaskLeavesAFullCell(t *testing.T) {
+func TestInterruptedTaskLeavesFullCell(t *testing.T) {
 	for at := 60; at < 90; at++ { // from just before the lease of the lost worker runs out
 		change := at % 3
-		n := newNeighbours(t, 2, 2)
+		n := newMultiCell(t, 2, 2)
 		n.turn(100)
 		n.cells[0].submit("l", "Bulk", lastingCores(16)) // all of its cell
 		for range 5 {
@@ -170,7 +170,7 @@
 		n.cells[0].runner.Crash(n.cells[0].workers[0].ID)
 		turns := 0
 		for ; n.cells[0].runner.Lasting() < 16; turns++ {
-			require.Less(t, cottonlanding.Millis(100*turns), timing.Lease+runsAgainWithin, "owner changed: %d", change)
+			require.Less(t, cottonlanding.Millis(100*turns), timing.Lease+otherCellRestartTimeout, "owner changed: %d", change)
 			n.turn(100)
 			if turns == at && change < len(n.cells) {
 				n.takeOver(change)
@@ -180,10 +180,10 @@
 	}
 }
 
-// TestTaskComesBackFromAFullGuestCell: a cell to which a task was delegated has no room for it by then. The task
+// TestTaskReturnsFromFullDelegateCell: a cell to which a task was delegated has no room for it by then. The task
 // goes back at once and runs in a third cell, with a number above all before.
-func TestTaskComesBackFromAFullGuestCell(t *testing.T) {
-	n := newNeighbours(t, 3, 2)
+func TestTaskReturnsFromFullDelegateCell(t *testing.T) {
+	n := newMultiCell(t, 3, 2)
 	n.turn(100)
 	n.cells[0].submit("l", "Bulk", lastingCores(16))
 	n.cells[1].submit("lfull", "Bulk", lastingCores(16))
@@ -194,8 +194,8 @@
 	n.cells[0].runner.Crash(n.cells[0].workers[0].ID)
 	chosen := n.choose
 	sent := 0
-	n.choose = func(cell int) func(planner.Delegable) (int, bool) {
-		return func(task planner.Delegable) (int, bool) {
+	n.choose = func(cell int) func(planner.DelegableTask) (int, bool) {
+		return func(task planner.DelegableTask) (int, bool) {
 			if sent == 8 {
 				return chosen(cell)(task)
 			}
@@ -204,32 +204,32 @@
 		}
 	}
 	for turns := 0; n.cells[0].runner.Lasting() < 32; turns++ {
-		require.Less(t, cottonlanding.Millis(100*turns), timing.Lease+runsAgainWithin)
+		require.Less(t, cottonlanding.Millis(100*turns), timing.Lease+otherCellRestartTimeout)
 		n.turn(100)
 	}
 	require.Equal(t, 8, sent)
 	n.check(t)
 }
 
-// delegated returns two cells of which the second has been asked to run four tasks of the first, and the question.
-func delegated(t *testing.T) (*neighbours, planner.DelegationQuestion) {
-	n := newNeighbours(t, 2, 2)
+// newDelegatedTasks returns two cells of which the second has been asked to run four tasks of the first, and the question.
+func newDelegatedTasks(t *testing.T) (*multiCell, planner.DelegationRequest) {
+	n := newMultiCell(t, 2, 2)
 	n.turn(100)
 	n.cells[0].submit("l", "Bulk", lastingCores(20)) // for 16 of which there is room
 	for range 12 {
 		n.cells[0].turn(100)
 		n.syncClocks()
 	}
-	n.delegate(0, func(planner.Delegable) (int, bool) { return 1, true })
+	n.delegate(0, func(planner.DelegableTask) (int, bool) { return 1, true })
 	n.cells[0].commit()
 	asked := n.cells[0].cell.Delegations()[1]
 	require.Len(t, asked, 1)
 	require.Len(t, asked[0].Tasks, 4)
-	return n, planner.DelegationQuestion{Keeper: 0, Workflows: asked}
+	return n, planner.DelegationRequest{Delegator: 0, Workflows: asked}
 }
 
 // runsIn counts the runs on a cell's workers.
-func (n *neighbours) runsIn(cell int) int {
+func (n *multiCell) runsIn(cell int) int {
 	sum := 0
 	for _, worker := range n.cells[cell].workers {
 		sum += n.cells[cell].runner.RunsOn(worker.ID)
@@ -237,66 +237,66 @@
 	return sum
 }
 
-// answerOf has the second cell answer a question, and tells the first.
-func (n *neighbours) answerOf(question planner.DelegationQuestion) planner.DelegationAnswer {
-	answer := n.cells[1].cell.HoldGuests(question, n.cells[1].now)
-	n.cells[0].cell.Reported(1, answer, n.cells[0].now)
-	return answer
+// exchange has the second cell answer a question, and tells the first.
+func (n *multiCell) exchange(request planner.DelegationRequest) planner.DelegationResponse {
+	response := n.cells[1].cell.HandleDelegationRequest(request, n.cells[1].now)
+	n.cells[0].cell.RecordDelegationResponse(1, response, n.cells[0].now)
+	return response
 }
 
-// TestQuestionThatComesLateTakesNothingAgain: a task that a cell has returned isn't taken by it again for a question
+// TestLateRequestIsIgnored: a task that a cell has returned isn't taken by it again for a question
 // from before that: its keeper may have started it by then.
-func TestQuestionThatComesLateTakesNothingAgain(t *testing.T) {
-	n, question := delegated(t)
+func TestLateRequestIsIgnored(t *testing.T) {
+	n, request := newDelegatedTasks(t)
 	n.cells[1].submit("lfull", "Bulk", lastingCores(16))
 	n.cells[1].turn(100)
 	n.cells[1].turn(100)
-	question.Last = n.answerOf(question).Stamp
-	n.answerOf(question) // it goes on
+	request.Last = n.exchange(request).Stamp
+	n.exchange(request) // it goes on
 	n.cells[1].turn(cottonlanding.Second)
-	question.Last = n.answerOf(question).Stamp
+	request.Last = n.exchange(request).Stamp
 	n.cells[1].turn(cottonlanding.Second) // it is too long without room
 	n.cells[1].turn(100)
-	returned := n.answerOf(question)
+	returned := n.exchange(request)
 	require.Len(t, returned.Reports[0].Tasks, 4)
 	require.True(t, returned.Reports[0].Tasks[0].Returned)
 	n.cells[1].cell.Cancel("lfull", n.cells[1].now, func(error) {})
 	n.syncClocks()
 	for range 10 {
 		n.cells[1].turn(100)
-		question.Last = n.cells[1].cell.HoldGuests(question, n.cells[1].now).Stamp
+		request.Last = n.cells[1].cell.HandleDelegationRequest(request, n.cells[1].now).Stamp
 	}
 	require.Equal(t, 16, n.cells[0].runner.Lasting(), "only those of the first cell run")
 }
 
-// TestReturnIsToldOnceItIsCommitted: an owner that is gone before it has committed a return has told nobody of it;
+// TestReturnIsReportedAfterCommit: an owner that is gone before it has committed a return has told nobody of it;
 // the next one runs the task.
-func TestReturnIsToldOnceItIsCommitted(t *testing.T) {
-	n, question := delegated(t)
+func TestReturnIsReportedAfterCommit(t *testing.T) {
+	n, request := newDelegatedTasks(t)
 	n.cells[1].submit("lfull", "Bulk", lastingCores(16))
 	n.cells[1].turn(100)
 	n.cells[1].turn(100)
-	question.Last = n.answerOf(question).Stamp
-	n.answerOf(question)
+	request.Last = n.exchange(request).Stamp
+	n.exchange(request)
 	n.cells[1].commit()
 	n.cells[1].now += cottonlanding.Second
-	question.Last = n.answerOf(question).Stamp
-	n.answerOf(question)
+	request.Last = n.exchange(request).Stamp
+	n.exchange(request)
 	n.cells[1].makePlan() // with the return
-	for _, report := range n.answerOf(question).Reports {
+	for _, report := range n.exchange(request).Reports {
 		require.Empty(t, report.Tasks)
 	}
 	n.cells[1].apply()
 	n.takeOver(1)
-	require.True(t, n.answerOf(question).Reports[0].Tasks[0].Returned)
+	require.True(t, n.exchange(request).Reports[0].Tasks[0].Returned)
 }
 
-// TestGuestStartsOnlyWhileItsKeeperConfirms: a keeper that has fallen silent may have cancelled its workflow. What
+// TestStartsNeedDelegatorConfirmation: a keeper that has fallen silent may have cancelled its workflow. What
 // runs goes on; what is interrupted waits.
-func TestGuestStartsOnlyWhileItsKeeperConfirms(t *testing.T) {
-	n, question := delegated(t)
+func TestStartsNeedDelegatorConfirmation(t *testing.T) {
+	n, request := newDelegatedTasks(t)
 	for range 3 {
-		question.Last = n.answerOf(question).Stamp
+		request.Last = n.exchange(request).Stamp
 		n.cells[1].turn(100)
 	}
 	require.Equal(t, 4, n.runsIn(1))
@@ -314,17 +314,17 @@
 	require.Equal(t, left, n.runsIn(1))
 	n.syncClocks()
 	for range 3 {
-		question.Last = n.answerOf(question).Stamp
+		request.Last = n.exchange(request).Stamp
 		n.cells[1].turn(100)
 	}
 	require.Equal(t, 4, n.runsIn(1), "once the keeper is heard of")
 }
 
-// TestEachWaitingTaskHasItsTurnToLeave guards against tasks that are never weighed for other cells because as many as
+// TestWaitingTasksTakeTurnsToLeave guards against tasks that are never weighed for other cells because as many as
 // are weighed at a time wait before them and find room nowhere.
-func TestEachWaitingTaskHasItsTurnToLeave(t *testing.T) {
+func TestWaitingTasksTakeTurnsToLeave(t *testing.T) {
 	const tasks, room, most = 40, 16, 10
-	n := newNeighbours(t, 1, 2)
+	n := newMultiCell(t, 1, 2)
 	n.turn(100)
 	n.cells[0].submit("l0", "Bulk", lastingCores(tasks))
 	for range 20 {
@@ -332,7 +332,7 @@
 	}
 	weighed := make(map[cottonlanding.TaskRef]bool)
 	for range 3 {
-		for _, task := range n.cells[0].cell.Delegables(most, func(cottonlanding.WorkflowID) bool { return true }, n.cells[0].now) {
+		for _, task := range n.cells[0].cell.DelegableTasks(most, func(cottonlanding.WorkflowID) bool { return true }, n.cells[0].now) {
 			weighed[task.Ref] = true
 		}
 	}
@@ -343,7 +343,7 @@
 // whose worker was lost.
 func TestInterruptedTasksLeaveFirst(t *testing.T) {
 	const tasks, perWorker = 40, 8
-	n := newNeighbours(t, 1, 2)
+	n := newMultiCell(t, 1, 2)
 	n.turn(100)
 	n.cells[0].submit("l0", "Bulk", lastingCores(tasks))
 	for range 20 {
@@ -354,7 +354,7 @@
 		n.turn(100)
 	}
 	for range 2 {
-		first := n.cells[0].cell.Delegables(perWorker, func(cottonlanding.WorkflowID) bool { return true }, n.cells[0].now)
+		first := n.cells[0].cell.DelegableTasks(perWorker, func(cottonlanding.WorkflowID) bool { return true }, n.cells[0].now)
 		require.Len(t, first, perWorker)
 		for _, task := range first {
 			require.Less(t, task.Ref.Index, 2*perWorker, "it ran")
--- a/internal/workflow/planner/down.go
+++ b/internal/workflow/planner/down.go
@@ -63,7 +63,7 @@
 			}
 		})
 	}
-	for _, t := range c.unheardCursor.take(startOverdue, maxAbandonedPerDecision) {
+	for _, t := range c.unheardCursor.nextTasks(startOverdue, maxAbandonedPerDecision) {
 		if c.fitsOnOtherWorker(t, now) {
 			t.abandonedStarts++
 			t.failedOn = append(t.failedOn, t.run.worker.life())
--- a/internal/workflow/planner/downtime.go
+++ b/internal/workflow/planner/downtime.go
@@ -173,7 +173,7 @@
 // isOver reports whether nothing more is to be told of a downtime here.
 func (d *downtime) isOver() bool {
 	t := d.task
-	return t.downtime != d || t.job.state.Final() || t.state == taskDone || t.state == taskElsewhere
+	return t.downtime != d || t.job.state.Final() || t.state == taskDone || t.state == taskNotHeld
 }
 
 // logDowntimes logs which lasting tasks began to be down and which run again, a line for each place.
--- a/internal/workflow/planner/downtime_test.go
+++ b/internal/workflow/planner/downtime_test.go
@@ -223,7 +223,7 @@
 // TestDelegatedTaskLogsDowntime guards against a downtime whose end can't be read where a task was delegated: its
 // keeper and the cell that takes it both tell.
 func TestDelegatedTaskLogsDowntime(t *testing.T) {
-	n := newNeighbours(t, 2, 2)
+	n := newMultiCell(t, 2, 2)
 	logs := []*bytes.Buffer{n.cells[0].captureLog(), n.cells[1].captureLog()}
 	n.turn(100)
 	n.cells[0].submit("l", "Bulk", lastingCores(16)) // all of its cell
@@ -239,7 +239,7 @@
 	}
 	require.Len(t, lost, 8)
 	for turns := 0; n.cells[0].runner.Lasting() < 16; turns++ {
-		require.Less(t, cottonlanding.Millis(100*turns), timing.Lease+runsAgainWithin)
+		require.Less(t, cottonlanding.Millis(100*turns), timing.Lease+otherCellRestartTimeout)
 		n.turn(100)
 	}
 	n.turn(100)
--- a/internal/workflow/planner/estimate.go
+++ b/internal/workflow/planner/estimate.go
@@ -33,7 +33,7 @@
 }
 
 // unknownPair is the view of a pair that was never seen.
-var unknownPair = cottonlanding.PairView{Weight: firstWeight, Doubt: initialStandardError}
+var unknownPair = cottonlanding.PairView{Weight: initialWeight, Doubt: initialStandardError}
 
 // pair returns what is known of a filling image.
 func (e *weightEstimate) pair(image cottonlanding.Image) cottonlanding.PairView {
@@ -63,7 +63,7 @@
 		return
 	}
 	e.index[image] = len(e.weights)
-	e.weights = append(e.weights, firstWeight)
+	e.weights = append(e.weights, initialWeight)
 	for i := range e.doubt {
 		e.doubt[i] = append(e.doubt[i], 0)
 	}
--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -30,7 +30,7 @@
 
 // TaskStates returns the states of a task; that of one which a cell runs is the last.
 func TaskStates(cell cottonlanding.CellNumber) []any {
-	return []any{taskWaiting, taskAssigned, taskDone, taskElsewhere, delegatedTo(cell)}
+	return []any{taskWaiting, taskAssigned, taskDone, taskNotHeld, delegatedState(cell)}
 }
 
 // GuestRowKeys returns the keys of a guest's rows.
--- a/internal/workflow/planner/outlook.go
+++ b/internal/workflow/planner/forecast.go
@@ -2,10 +2,10 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// outlook is what is left to be done of a workflow, by its client's estimates. It changes only
+// forecast is what is left to be done of a workflow, by its client's estimates. It changes only
 // when tasks are done, a round is added or the queue does, while each decision asks for that
 // of every open workflow.
-type outlook struct {
+type forecast struct {
 	// work is that of all tasks, left that of those that aren't done, in
 	// millicore-milliseconds.
 	work, left float64
@@ -15,9 +15,9 @@
 }
 
 // ahead returns the outlook of a workflow.
-func (j *job) ahead() outlook {
+func (j *job) ahead() forecast {
 	if j.forecast == nil {
-		j.forecast = &outlook{}
+		j.forecast = &forecast{}
 		j.forecast.work, j.forecast.left = j.work()
 		if j.queue.Stretch > 0 {
 			chain := j.longestChain(func(*stage) bool { return true })
@@ -61,15 +61,15 @@
 		return 0
 	}
 	longest := cottonlanding.Millis(0)
-	upTo := make([]cottonlanding.Millis, len(r.steps))
+	earliestEnd := make([]cottonlanding.Millis, len(r.steps))
 	for i, s := range r.steps {
 		for _, earlier := range s.After {
-			upTo[i] = max(upTo[i], upTo[earlier])
+			earliestEnd[i] = max(earliestEnd[i], earliestEnd[earlier])
 		}
 		if counts(s) {
-			upTo[i] += s.Estimate
+			earliestEnd[i] += s.Estimate
 		}
-		longest = max(longest, upTo[i])
+		longest = max(longest, earliestEnd[i])
 	}
 	return longest
 }
--- a/internal/workflow/planner/gate.go
+++ b/internal/workflow/planner/gate.go
@@ -68,7 +68,7 @@
 // acceptsFilling reports whether a filling task would get most of its processors on a worker without disturbing others.
 func (c *Cell) acceptsFilling(t *task, w *worker, now cottonlanding.Millis) bool {
 	enough := float64(c.room(w, now).spare) >= minFillingShare*float64(t.stage.Resources.CPU)
-	return enough && c.bearable(w, t.stage.Step, now) >= leastPart
+	return enough && c.sustainablePace(w, t.stage.Step, now) >= minPaceFraction
 }
 
 // countRejections counts the workers by what rules them out for a task. It leaves no newer measure of their room behind,
--- a/internal/workflow/planner/golden_test.go
+++ b/internal/workflow/planner/golden_test.go
@@ -24,11 +24,11 @@
 // TestGoldenMessages guards against a message between cells that a process of another version reads as something else.
 func TestGoldenMessages(t *testing.T) {
 	comparer.JSON(t, planner.EncodeRow, map[string]any{
-		"DelegationQuestion": planner.DelegationQuestion{},
-		"DelegationAnswer":   planner.DelegationAnswer{},
+		"DelegationQuestion": planner.DelegationRequest{},
+		"DelegationAnswer":   planner.DelegationResponse{},
 		"DelegatedWorkflow":  planner.DelegatedWorkflow{},
 		"DelegatedTask":      planner.DelegatedTask{},
-		"GuestReport":        planner.GuestReport{},
+		"GuestReport":        planner.DelegatedWorkflowReport{},
 		"Report":             planner.Report{},
 	})
 }
@@ -37,7 +37,7 @@
 func TestGoldenNames(t *testing.T) {
 	guestSpec, guestState := planner.GuestRowKeys("P", "w")
 	for name, lines := range map[string][]any{
-		"Keys": {planner.SpecKey("P", "w"), planner.StateKey("P", "w"), planner.ReferralKey("P", "w"), planner.GuestsKey("P"),
+		"Keys": {planner.SpecKey("P", "w"), planner.StateKey("P", "w"), planner.ReferralKey("P", "w"), planner.DelegatedRowsKey("P"),
 			guestSpec, guestState, planner.LearntKey("P"), planner.LeaseBoundsKey("P")},
 		"TaskStates": planner.TaskStates(cottonlanding.CellNumber(7)),
 		"Verbs":      {planner.VerbStart, planner.VerbStop, planner.VerbPace},
--- a/internal/workflow/planner/handover.go
+++ b/internal/workflow/planner/handover.go
@@ -12,26 +12,26 @@
 // is told to the other cell again and again until that has it; only then callers are sent
 // there, and the referral becomes an ordinary one. Until then it counts as pending here.
 
-// moveAfter is how long a workflow waits before it is handed over: long enough for runs
+// handOverAfter is how long a workflow waits before it is handed over: long enough for runs
 // that end to make room, and well below the three seconds in which it must begin.
-const moveAfter = 600 * cottonlanding.Millis(1)
+const handOverAfter = 600 * cottonlanding.Millis(1)
 
-// Leavers returns up to a number of workflows that wait, of which nothing was ever placed.
-func (c *Cell) Leavers(most int, now cottonlanding.Millis) []cottonlanding.Workflow {
+// HandOverCandidates returns up to a number of workflows that wait, of which nothing was ever placed.
+func (c *Cell) HandOverCandidates(most int, now cottonlanding.Millis) []cottonlanding.Workflow {
 	var out []cottonlanding.Workflow
 	for _, j := range c.openJobs {
-		if len(out) < most && c.mayLeave(j, now) {
+		if len(out) < most && c.mayHandOver(j, now) {
 			out = append(out, j.Workflow)
 		}
 	}
 	return out
 }
 
-func (c *Cell) mayLeave(j *job, now cottonlanding.Millis) bool {
+func (c *Cell) mayHandOver(j *job, now cottonlanding.Millis) bool {
 	if _, known := c.queues.Queues[j.Queue]; !known {
 		return false // other cells take no workflow of a queue that was removed
 	}
-	waits := now-j.accepted >= moveAfter && !j.placed && !j.state.Final() && j.Schedule.Rounds == 0
+	waits := now-j.accepted >= handOverAfter && !j.placed && !j.state.Final() && j.Schedule.Rounds == 0
 	if !waits || !rowFits(j.Workflow, maxLifeBytes) {
 		return false // a cell whose workers have longer ids might refuse it
 	}
@@ -43,47 +43,47 @@
 	j := c.jobs[id]
 	delete(c.jobs, id)
 	c.openJobs = slices.DeleteFunc(c.openJobs, func(other *job) bool { return other == j })
-	c.referrals[id] = &referral{cell: to, since: now, pending: &j.Workflow, left: true}
+	c.referrals[id] = &referral{cell: to, knownSince: now, pendingWorkflow: &j.Workflow, deleteRows: true}
 	c.unplannedReferrals[id] = []func(error){}
 	c.reportedAt = 0
 	c.counts.HandedOver++
 	c.log.Info("workflow handed over", "Workflow", id, "To", to, "Waited", now-j.accepted, "Epoch", c.setup.Epoch)
 }
 
-// Handovers returns the workflows that other cells have to be told of.
-func (c *Cell) Handovers() map[cottonlanding.CellNumber][]cottonlanding.Workflow {
+// PendingHandOvers returns the workflows that other cells have to be told of.
+func (c *Cell) PendingHandOvers() map[cottonlanding.CellNumber][]cottonlanding.Workflow {
 	out := make(map[cottonlanding.CellNumber][]cottonlanding.Workflow)
 	for _, known := range c.referrals {
-		if known.pending != nil && known.version > 0 {
-			out[known.cell] = append(out[known.cell], *known.pending)
+		if known.pendingWorkflow != nil && known.version > 0 {
+			out[known.cell] = append(out[known.cell], *known.pendingWorkflow)
 		}
 	}
 	return out
 }
 
-// HandedOver takes in that the other cell has taken a workflow.
-func (c *Cell) HandedOver(id cottonlanding.WorkflowID, now cottonlanding.Millis) {
+// HandOverAccepted takes in that the other cell has taken a workflow.
+func (c *Cell) HandOverAccepted(id cottonlanding.WorkflowID, now cottonlanding.Millis) {
 	known := c.referrals[id]
-	if known == nil || known.pending == nil {
+	if known == nil || known.pendingWorkflow == nil {
 		return
 	}
-	known.pending, known.since = nil, now
+	known.pendingWorkflow, known.knownSince = nil, now
 	if c.unplannedReferrals[id] == nil {
 		c.unplannedReferrals[id] = []func(error){}
 	}
 }
 
-// Pending reports whether a workflow is on its way to another cell.
-func (c *Cell) Pending(id cottonlanding.WorkflowID) bool {
+// HandOverPending reports whether a workflow is on its way to another cell.
+func (c *Cell) HandOverPending(id cottonlanding.WorkflowID) bool {
 	known := c.referrals[id]
-	return known != nil && known.pending != nil
+	return known != nil && known.pendingWorkflow != nil
 }
 
-// pendingIn counts the workflows of a queue that other cells have to be told of.
-func (c *Cell) pendingIn(queue cottonlanding.QueueName) int {
+// pendingHandOversOf counts the workflows of a queue that other cells have to be told of.
+func (c *Cell) pendingHandOversOf(queue cottonlanding.QueueName) int {
 	count := 0
 	for _, known := range c.referrals {
-		if known.pending != nil && known.pending.Queue == queue {
+		if known.pendingWorkflow != nil && known.pendingWorkflow.Queue == queue {
 			count++
 		}
 	}
--- a/internal/workflow/planner/handover_test.go
+++ b/internal/workflow/planner/handover_test.go
@@ -9,11 +9,11 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestWhatMayLeaveGivesWay has a cell full of lasting workflows and one more wait, until the
+// TestHandOverCandidateYieldsRoom has a cell full of lasting workflows and one more wait, until the
 // owner dies and all leases run out before the next one is there. Seen: that one decided 700 ms
 // after the workers had listed the ends; the workflow that had waited got the room of one that
 // had run, and this waited for good, as it can't be handed over, while other cells had room.
-func TestWhatMayLeaveGivesWay(t *testing.T) {
+func TestHandOverCandidateYieldsRoom(t *testing.T) {
 	w := newSpreadWorld(t)
 	const full = 32 // on four workers of eight cores
 	lasting := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 1000, Memory: cottonlanding.Gigabyte}, Lasting: true}
@@ -35,14 +35,14 @@
 	w.now += 700
 	w.turn(0)
 	require.Equal(t, full, w.runner.Lasting())
-	left := w.cell.Leavers(full, w.now)
+	left := w.cell.HandOverCandidates(full, w.now)
 	require.Len(t, left, 1)
 	require.Equal(t, waits, left[0].ID)
 }
 
-// TestReportTellsWhatIsHeldForGood: room that short tasks hold or wait for comes free, so that a
+// TestReportCountsLastingTasks: room that short tasks hold or wait for comes free, so that a
 // cell with too many of those still has room for lasting ones.
-func TestReportTellsWhatIsHeldForGood(t *testing.T) {
+func TestReportCountsLastingTasks(t *testing.T) {
 	w := newSpreadWorld(t)
 	step := cottonlanding.Step{Tasks: 16, Resources: cottonlanding.Resources{CPU: 1000, Memory: cottonlanding.Gigabyte}, Estimate: slowDuration}
 	lasting := step
--- a/internal/workflow/planner/pressure.go
+++ b/internal/workflow/planner/interference.go
@@ -13,44 +13,44 @@
 // images from the figures of all workers.
 
 const (
-	// firstWeight is the weight assumed for a pair that was not seen yet.
-	firstWeight = 1.5
-	// figureSpan is the span that a worker's figures cover.
-	figureSpan = 450 * cottonlanding.Millis(1)
-	// staleFigure is how far a load is extrapolated at most.
-	staleFigure = 2500 * cottonlanding.Millis(1)
-	// paceAhead and placeAhead are how far a load is looked ahead when a pace is
+	// initialWeight is the weight assumed for a pair that was not seen yet.
+	initialWeight = 1.5
+	// measurementSpan is the span that a worker's figures cover.
+	measurementSpan = 450 * cottonlanding.Millis(1)
+	// maxExtrapolation is how far a load is extrapolated at most.
+	maxExtrapolation = 2500 * cottonlanding.Millis(1)
+	// paceLookahead and placeAhead are how far a load is looked ahead when a pace is
 	// set, until the next figure, and when a task is placed, for most of its run.
-	paceAhead  = cottonlanding.Second
-	placeAhead = 2500 * cottonlanding.Millis(1)
+	paceLookahead      = cottonlanding.Second
+	placementLookahead = 2500 * cottonlanding.Millis(1)
 	// modelError is the part of a disturbance by which the model may be wrong.
 	modelError = 0.3
-	// leastUse is the part of a worker that filling tasks must use to disturb at all.
-	leastUse = 0.005
-	// saturated is how busy a task may be for its figure to be compared: above, its
+	// minUsage is the part of a worker that filling tasks must use to disturb at all.
+	minUsage = 0.005
+	// maxComparableUtilization is how busy a task may be for its figure to be compared: above, its
 	// tail says little.
-	saturated = 0.95
-	// aimOfTarget is the share of its latency target at which a serving task is
+	maxComparableUtilization = 0.95
+	// latencyGoalFraction is the share of its latency target at which a serving task is
 	// kept, so that a swing of its load stays below the target. Source: plays on the
 	// users' platform with 0.75, 0.85 and 0.95 (docs/EXPERIMENTS.md).
-	aimOfTarget = 0.85
-	// placeMargin is how much less busy a serving task must be for another filling
+	latencyGoalFraction = 0.85
+	// placementMargin is how much less busy a serving task must be for another filling
 	// task to be placed beside it.
-	placeMargin = 0.03
-	// overPatience is how long a serving task may be over its target before light
+	placementMargin = 0.03
+	// overTargetTimeout is how long a serving task may be over its target before light
 	// filling tasks are stopped too, which leaves time before harm is done.
-	overPatience = 900 * cottonlanding.Millis(1)
-	// overCorrection is how much more than what is too much is taken away, so that
+	overTargetTimeout = 900 * cottonlanding.Millis(1)
+	// overshootCorrection is how much more than what is too much is taken away, so that
 	// the next figure is below the aim although the load rises.
-	overCorrection = 2.0
-	// leastPart is the part of its pace that a filling task must be able to keep for
+	overshootCorrection = 2.0
+	// minPaceFraction is the part of its pace that a filling task must be able to keep for
 	// it to be placed.
-	leastPart = 0.5
-	// baseOfTarget is the share of its target that an idle task's tail is assumed
+	minPaceFraction = 0.5
+	// assumedBaseFraction is the share of its target that an idle task's tail is assumed
 	// to have before a lower tail was seen.
-	baseOfTarget = 0.25
-	// mostBusy bounds what a long tail says: beyond it only "too busy" is known.
-	mostBusy = 0.99
+	assumedBaseFraction = 0.25
+	// maxUtilization bounds what a long tail says: beyond it only "too busy" is known.
+	maxUtilization = 0.99
 )
 
 // pressure is what was learnt of how images disturb each other.
@@ -58,14 +58,14 @@
 	policy cottonlanding.DisturbancePolicy
 	// weights holds the estimate for each serving image.
 	weights map[cottonlanding.Image]*weightEstimate
-	// others is what other cells have learnt.
-	others findings
+	// remoteFindings is what other cells have learnt.
+	remoteFindings findings
 	// base is the shortest tail seen of an image.
 	base map[cottonlanding.Image]cottonlanding.Millis
-	// borne counts, by the images that serve together, the filling images that hardly
+	// toleratedCounts counts, by the images that serve together, the filling images that hardly
 	// disturb them, as of borneAt.
-	borne   map[string]int
-	borneAt cottonlanding.Millis
+	toleratedCounts   map[string]int
+	toleratedCountsAt cottonlanding.Millis
 }
 
 func newPressure(policy cottonlanding.DisturbancePolicy) *pressure {
@@ -87,14 +87,14 @@
 	if known := p.weights[serving]; known != nil {
 		own = known.pair(filling)
 	}
-	return join(own, p.others[serving][filling])
+	return combine(own, p.remoteFindings[serving][filling])
 }
 
 // predict returns how much busier filling tasks make a serving image, and the variance of
 // that.
 func (p *pressure) predict(known *weightEstimate, serving cottonlanding.Image, used map[cottonlanding.Image]float64) (added, variance float64) {
 	added, variance = known.predict(used)
-	if len(p.others[serving]) == 0 {
+	if len(p.remoteFindings[serving]) == 0 {
 		return added, variance
 	}
 	added, variance = 0, 0
@@ -106,30 +106,30 @@
 	return added, variance
 }
 
-// busy returns how busy a tail shows its task to be, between 0 and mostBusy.
-func (p *pressure) busy(r *run, tail cottonlanding.Millis) float64 {
+// utilization returns how utilization a tail shows its task to be, between 0 and mostBusy.
+func (p *pressure) utilization(r *run, tail cottonlanding.Millis) float64 {
 	base := p.baseOf(r)
 	if tail <= base {
 		return 0
 	}
-	return min(1-float64(base)/float64(tail), mostBusy)
+	return min(1-float64(base)/float64(tail), maxUtilization)
 }
 
 func (p *pressure) baseOf(r *run) cottonlanding.Millis {
 	base, known := p.base[r.step.Image]
 	if !known {
-		base = cottonlanding.Millis(baseOfTarget * float64(r.step.LatencyTarget))
+		base = cottonlanding.Millis(assumedBaseFraction * float64(r.step.LatencyTarget))
 	}
 	return max(base, 1)
 }
 
-// aim returns how busy a serving task may be.
-func (p *pressure) aim(r *run) float64 {
-	return p.busy(r, cottonlanding.Millis(aimOfTarget*float64(r.step.LatencyTarget)))
+// utilizationGoal returns how busy a serving task may be.
+func (p *pressure) utilizationGoal(r *run) float64 {
+	return p.utilization(r, cottonlanding.Millis(latencyGoalFraction*float64(r.step.LatencyTarget)))
 }
 
-// learn takes in the latest figures of one worker.
-func (c *Cell) learn(w *worker, serving, filling []*run, now cottonlanding.Millis) {
+// learnInterference takes in the latest figures of one worker.
+func (c *Cell) learnInterference(w *worker, serving, filling []*run, now cottonlanding.Millis) {
 	used := make(map[cottonlanding.Image]float64)
 	total := 0.0
 	for _, f := range filling {
@@ -138,18 +138,18 @@
 			total += share
 		}
 	}
-	if total > leastUse {
+	if total > minUsage {
 		w.fillingSeenAt = now
 	}
-	settling := total <= leastUse && w.fillingSeenAt > 0 && now-w.fillingSeenAt < figureSpan+figureSpan/2
+	settling := total <= minUsage && w.fillingSeenAt > 0 && now-w.fillingSeenAt < measurementSpan+measurementSpan/2
 	for _, s := range serving {
-		if s.tailLatency <= 0 || settling || s.sampledAt > 0 && now-s.sampledAt < figureSpan {
+		if s.tailLatency <= 0 || settling || s.sampledAt > 0 && now-s.sampledAt < measurementSpan {
 			continue // no figure, a mixed one, or maybe the same as the last
 		}
 		s.sampledAt = now
 		trials := c.pressure.untriedAmong(used, s.step.Image)
 		c.pressure.learnTask(s, used, now)
-		c.logTried(trials, s.step.Image)
+		c.logTrialResults(trials, s.step.Image)
 	}
 }
 
@@ -162,16 +162,16 @@
 		known = newWeightEstimate()
 		p.weights[s.step.Image] = known
 	}
-	busy := p.busy(s, s.tailLatency)
+	utilization := p.utilization(s, s.tailLatency)
 	load := &s.task.stage.load
 	added, variance := p.predict(known, s.step.Image, used)
-	if busy < saturated || load.known() && busy > load.ahead(now)+added {
-		if load.settled(now) && len(used) > 0 {
-			known.learn(used, busy-load.ahead(now))
+	if utilization < maxComparableUtilization || load.known() && utilization > load.forecastAt(now)+added {
+		if load.hasRampedUp(now) && len(used) > 0 {
+			known.learn(used, utilization-load.forecastAt(now))
 		}
 		noise := measurementNoise * measurementNoise
-		trust := noise / (noise + variance + modelError*modelError*added*added)
-		load.see(max(busy-added, 0), trust, now)
+		confidence := noise / (noise + variance + modelError*modelError*added*added)
+		load.observe(max(utilization-added, 0), confidence, now)
 	}
 }
 
@@ -180,9 +180,9 @@
 // aim, whatever was learnt before. Light ones are let be unless it was over its
 // target for a while: what they would lose at each peak of the load is worth more.
 func (p *pressure) budget(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) budget {
-	out := budget{heavy: p.aim(s) - s.expected(now, paceAhead), light: math.Inf(1)}
-	if over := p.busy(s, s.tailLatency) - p.aim(s); over > 0 {
-		out.heavy = min(out.heavy, p.added(s, filling, capacity)-overCorrection*over)
+	out := budget{heavy: p.utilizationGoal(s) - s.expected(now, paceLookahead), light: math.Inf(1)}
+	if over := p.utilization(s, s.tailLatency) - p.utilizationGoal(s); over > 0 {
+		out.heavy = min(out.heavy, p.added(s, filling, capacity)-overshootCorrection*over)
 	}
 	if s.tailLatency < s.step.LatencyTarget {
 		s.overTargetSince = 0
@@ -192,7 +192,7 @@
 	if s.overTargetSince == 0 {
 		s.overTargetSince = now
 	}
-	if now-s.overTargetSince >= overPatience {
+	if now-s.overTargetSince >= overTargetTimeout {
 		out.light = 0
 	}
 	return out
@@ -210,7 +210,7 @@
 // slack returns how much busier a serving task may become, given its own load and
 // the filling tasks' paces.
 func (p *pressure) slack(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) float64 {
-	slack := p.aim(s) - s.expected(now, placeAhead)
+	slack := p.utilizationGoal(s) - s.expected(now, placementLookahead)
 	for _, f := range filling {
 		slack -= p.weight(f.step.Image, s.step.Image) * f.share(capacity) * float64(f.paceGoal) / fullPace
 	}
@@ -221,7 +221,7 @@
 // now on for a while.
 func (r *run) expected(now, span cottonlanding.Millis) float64 {
 	load := &r.task.stage.load
-	return max(load.ahead(now), load.ahead(now+span))
+	return max(load.forecastAt(now), load.forecastAt(now+span))
 }
 
 // share returns the part of the worker that a filling task uses at full pace.
@@ -243,20 +243,20 @@
 	return serving, filling
 }
 
-// bearable returns the part of its pace that one more filling task could keep on a
+// sustainablePace returns the part of its pace that one more filling task could keep on a
 // worker without pushing a serving task there over its aim.
-func (c *Cell) bearable(w *worker, step cottonlanding.Step, now cottonlanding.Millis) float64 {
-	if !c.mayTry(w, step, now) {
+func (c *Cell) sustainablePace(w *worker, step cottonlanding.Step, now cottonlanding.Millis) float64 {
+	if !c.mayRunTrial(w, step, now) {
 		return 0
 	}
 	share := float64(step.Resources.CPU) / float64(w.info.Capacity.CPU)
-	part := 1.0
+	fraction := 1.0
 	for _, s := range c.room(w, now).slacks {
 		if weight := c.pressure.weight(step.Image, s.image); weight > cottonlanding.LightWeight {
-			part = min(part, max(s.slack-placeMargin, 0)/(weight*share+leastUse))
+			fraction = min(fraction, max(s.slack-placementMargin, 0)/(weight*share+minUsage))
 		}
 	}
-	return part
+	return fraction
 }
 
 // withinInterferenceBudget reports whether a filling task would hardly disturb the serving tasks
--- a/internal/workflow/planner/pressure_test.go
+++ b/internal/workflow/planner/interference_test.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	tailBase = 25.0
-	target   = 150 * cottonlanding.Millis(1)
-	harm     = 4 * cottonlanding.Second
-	// fillTime is how long a filling task takes; it outlasts the tests.
-	fillTime = 200 * cottonlanding.Second
+	tailBase      = 25.0
+	target        = 150 * cottonlanding.Millis(1)
+	maxOverTarget = 4 * cottonlanding.Second
+	// fillDuration is how long a filling task takes; it outlasts the tests.
+	fillDuration = 200 * cottonlanding.Second
 )
 
-// shared plays one worker on which filling tasks disturb serving ones, as was seen
+// sharedWorker plays one worker on which filling tasks disturb serving ones, as was seen
 // on the users' platform: tail = base / (1 - load - weights x use).
-type shared struct {
-	t       *testing.T
-	now     cottonlanding.Millis
-	cell    *planner.Cell
-	epoch   cottonlanding.Epoch
-	rows    map[cottonlanding.Key]cottonlanding.Row
-	version cottonlanding.Version
-	weights map[cottonlanding.Image]float64
-	images  map[cottonlanding.WorkflowID]cottonlanding.Image
-	runs    map[cottonlanding.RunKey]int     // pace in percent
-	done    map[cottonlanding.RunKey]float64 // progress in percent
-	over    cottonlanding.Millis             // for how long the serving task is over its target
-	worst   cottonlanding.Millis
-	worked  map[cottonlanding.Image]float64 // percent-milliseconds
-	policy  planner.Policy
+type sharedWorker struct {
+	t                 *testing.T
+	now               cottonlanding.Millis
+	cell              *planner.Cell
+	epoch             cottonlanding.Epoch
+	rows              map[cottonlanding.Key]cottonlanding.Row
+	version           cottonlanding.Version
+	weights           map[cottonlanding.Image]float64
+	images            map[cottonlanding.WorkflowID]cottonlanding.Image
+	runs              map[cottonlanding.RunKey]int     // pace in percent
+	done              map[cottonlanding.RunKey]float64 // progress in percent
+	overTarget        cottonlanding.Millis             // for how long the serving task is over its target
+	longestOverTarget cottonlanding.Millis
+	worked            map[cottonlanding.Image]float64 // percent-milliseconds
+	policy            planner.Policy
 	// load is how busy the serving task is by its own users at an instant.
 	load func(cottonlanding.Millis) float64
 }
 
-func share(t *testing.T, weights map[cottonlanding.Image]float64) *shared {
-	s := &shared{
+func newSharedWorker(t *testing.T, weights map[cottonlanding.Image]float64) *sharedWorker {
+	s := &sharedWorker{
 		t: t, now: 1000, weights: weights,
 		rows:   make(map[cottonlanding.Key]cottonlanding.Row),
 		images: make(map[cottonlanding.WorkflowID]cottonlanding.Image),
@@ -59,7 +59,7 @@
 }
 
 // takeOver makes a new owner from the committed rows.
-func (s *shared) takeOver() {
+func (s *sharedWorker) takeOver() {
 	s.epoch++
 	s.cell = planner.New(planner.Setup{Partition: partition, Epoch: s.epoch, BeforeUntil: s.now}, timing, s.policy, discardLog())
 	s.cell.SetQueues(cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{
@@ -83,7 +83,7 @@
 }
 
 // commit applies a plan to the rows.
-func (s *shared) commit(plan *planner.Plan) {
+func (s *sharedWorker) commit(plan *planner.Plan) {
 	s.version++
 	for _, write := range plan.Writes {
 		require.Equal(s.t, s.rows[write.Key].Version, write.Expect, "the version of %s", write.Key)
@@ -92,7 +92,7 @@
 	s.cell.Committed(plan, s.version)
 }
 
-func (s *shared) submit(id cottonlanding.WorkflowID, queue cottonlanding.QueueName, step cottonlanding.Step) {
+func (s *sharedWorker) submit(id cottonlanding.WorkflowID, queue cottonlanding.QueueName, step cottonlanding.Step) {
 	s.images[id] = step.Image
 	step.Resources.Memory = cottonlanding.Gigabyte
 	s.cell.Submit(cottonlanding.Workflow{ID: id, Queue: queue, Steps: []cottonlanding.Step{step}}, s.now, func(error) {})
@@ -103,16 +103,16 @@
 	return 0.48 + 0.2*math.Sin(2*math.Pi*float64(now)/20_000)
 }
 
-func (s *shared) busy() float64 {
-	busy := s.load(s.now)
+func (s *sharedWorker) utilization() float64 {
+	utilization := s.load(s.now)
 	for key, pace := range s.runs {
-		busy += s.weights[s.images[key.Task.Workflow]] * 3.5 / 32 * float64(pace) / 100
+		utilization += s.weights[s.images[key.Task.Workflow]] * 3.5 / 32 * float64(pace) / 100
 	}
-	return busy
+	return utilization
 }
 
 // step plays 100 ms.
-func (s *shared) step(look bool) {
+func (s *sharedWorker) step(poll bool) {
 	s.now += 100
 	s.cell.Decide(s.now, 0)
 	if plan := s.cell.Plan(s.now); plan != nil {
@@ -129,22 +129,22 @@
 		}
 		s.cell.OrderAnswered(order, 0, nil, s.now)
 	}
-	if s.busy() > 1-tailBase/float64(target) && s.serving() {
-		s.over += 100
-		s.worst = max(s.worst, s.over)
+	if s.utilization() > 1-tailBase/float64(target) && s.serving() {
+		s.overTarget += 100
+		s.longestOverTarget = max(s.longestOverTarget, s.overTarget)
 	} else {
-		s.over = 0
+		s.overTarget = 0
 	}
 	for key, pace := range s.runs {
 		s.worked[s.images[key.Task.Workflow]] += float64(pace) * 100
-		s.done[key] += float64(pace) * 100 / float64(fillTime)
+		s.done[key] += float64(pace) * 100 / float64(fillDuration)
 	}
-	if look {
-		s.look()
+	if poll {
+		s.poll()
 	}
 }
 
-func (s *shared) serving() bool {
+func (s *sharedWorker) serving() bool {
 	for key := range s.runs {
 		if s.images[key.Task.Workflow] == "serve" {
 			return true
@@ -153,13 +153,13 @@
 	return false
 }
 
-func (s *shared) look() {
+func (s *sharedWorker) poll() {
 	next, _ := s.cell.NextPoll("w", s.now) // extends the lease
 	report := cottonlanding.RunReport{Reading: cottonlanding.Reading(s.now)}
 	for key, pace := range s.runs {
 		progress := cottonlanding.RunProgress{RunKey: key, Percent: 100}
 		if s.images[key.Task.Workflow] == "serve" {
-			progress.Tail = cottonlanding.Millis(min(tailBase/max(1-s.busy(), 0.01), 1000))
+			progress.Tail = cottonlanding.Millis(min(tailBase/max(1-s.utilization(), 0.01), 1000))
 		} else {
 			progress.Percent = int(s.done[key])
 			progress.Used = cottonlanding.Millicores(3500 * pace / 100)
@@ -169,44 +169,44 @@
 	s.cell.PollAnswered(next, report, s.now, s.now)
 }
 
-func (s *shared) play(span cottonlanding.Millis, each func(number int)) {
+func (s *sharedWorker) play(span cottonlanding.Millis, each func(number int)) {
 	for number := range int(span / 100) {
 		each(number)
 		s.step(number%8 == 0)
 	}
 }
 
-func TestHeavyFillersAreSlowedBeforeTheyDoHarm(t *testing.T) {
-	s := share(t, map[cottonlanding.Image]float64{"heavy": 3})
+func TestHeavyFillersAreSlowed(t *testing.T) {
+	s := newSharedWorker(t, map[cottonlanding.Image]float64{"heavy": 3})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
 	s.play(60*cottonlanding.Second, func(number int) {
 		if number%20 == 19 {
 			s.submit(cottonlanding.WorkflowID(fmt.Sprintf("f%d", number)), "Fill",
-				cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillTime, Image: "heavy", Fills: true, Checkpoints: true})
+				cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Image: "heavy", Fills: true, Checkpoints: true})
 		}
 	})
-	require.Less(t, s.worst, harm*3/4, "over the target for too long")
+	require.Less(t, s.longestOverTarget, maxOverTarget*3/4, "over the target for too long")
 	require.Positive(t, s.worked["heavy"], "what is left is used")
 }
 
 func TestLightFillersRunAtFullPace(t *testing.T) {
-	s := share(t, map[cottonlanding.Image]float64{"light": 0.1})
+	s := newSharedWorker(t, map[cottonlanding.Image]float64{"light": 0.1})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
 	s.play(60*cottonlanding.Second, func(number int) {
 		if number%20 == 19 && number < 100 {
 			s.submit(cottonlanding.WorkflowID(fmt.Sprintf("f%d", number)), "Fill",
-				cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillTime, Image: "light", Fills: true, Checkpoints: true})
+				cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Image: "light", Fills: true, Checkpoints: true})
 		}
 	})
 	for key, pace := range s.runs {
 		require.Equal(t, 100, pace, "%v", key)
 	}
 	require.Len(t, s.runs, 6)
-	require.Less(t, s.worst, harm)
+	require.Less(t, s.longestOverTarget, maxOverTarget)
 }
 
-func TestStarvedWorkflowGetsARun(t *testing.T) {
-	s := share(t, map[cottonlanding.Image]float64{"heavy": 8})
+func TestStarvedWorkflowRuns(t *testing.T) {
+	s := newSharedWorker(t, map[cottonlanding.Image]float64{"heavy": 8})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 4, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
 	s.play(2*cottonlanding.Second, func(int) {})
 	began := s.now
@@ -217,13 +217,13 @@
 	}
 }
 
-// TestPausedFillersKeepTheirClaim checks that filling tasks which stand still count
+// TestPausedFillersCountAsWorking checks that filling tasks which stand still count
 // as if they worked when others are placed: they go on once the load falls, and all
 // of them at part of their speed are late.
-func TestPausedFillersKeepTheirClaim(t *testing.T) {
-	s := share(t, map[cottonlanding.Image]float64{"heavy": 4, "light": 0.1})
+func TestPausedFillersCountAsWorking(t *testing.T) {
+	s := newSharedWorker(t, map[cottonlanding.Image]float64{"heavy": 4, "light": 0.1})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
-	fill := cottonlanding.Step{Tasks: 20, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillTime, Fills: true, Checkpoints: true}
+	fill := cottonlanding.Step{Tasks: 20, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Fills: true, Checkpoints: true}
 	s.play(60*cottonlanding.Second, func(number int) {
 		fill.Image = "heavy"
 		if number%20 == 19 && number < 120 {
@@ -247,14 +247,14 @@
 	require.LessOrEqual(t, len(s.runs)-1, fit, "more filling tasks than there are processors for")
 }
 
-// manyImages plays a worker to which filling tasks of eight images come that nobody knows
+// playUnknownImages plays a worker to which filling tasks of eight images come that nobody knows
 // and that disturb hardly, and returns how much they worked within a span.
-func manyImages(t *testing.T, decisions selector.Names, span cottonlanding.Millis) float64 {
+func playUnknownImages(t *testing.T, decisions selector.Names, span cottonlanding.Millis) float64 {
 	weights := make(map[cottonlanding.Image]float64)
 	for number := range 8 {
 		weights[cottonlanding.Image(fmt.Sprintf("light%d", number))] = 0.1
 	}
-	s := share(t, weights)
+	s := newSharedWorker(t, weights)
 	set, err := selector.New(decisions)
 	require.NoError(t, err)
 	s.policy = set.Planner
@@ -263,10 +263,10 @@
 	s.play(5*cottonlanding.Second, func(int) {})
 	for image := range weights {
 		s.submit(cottonlanding.WorkflowID(image), "Fill",
-			cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillTime, Image: image, Fills: true, Checkpoints: true})
+			cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Image: image, Fills: true, Checkpoints: true})
 	}
 	s.play(span, func(int) {})
-	require.Less(t, s.worst, harm)
+	require.Less(t, s.longestOverTarget, maxOverTarget)
 	sum := 0.0
 	for _, worked := range s.worked {
 		sum += worked
@@ -278,22 +278,22 @@
 // trials find out soon that they may work, where the baseline lets them stand still.
 func TestUnknownImagesAreTried(t *testing.T) {
 	const span = 20 * cottonlanding.Second
-	tried := manyImages(t, nil, span)
-	cautious := manyImages(t, selector.Names{"Disturbance": "cautious"}, span)
+	tried := playUnknownImages(t, nil, span)
+	cautious := playUnknownImages(t, selector.Names{"Disturbance": "cautious"}, span)
 	require.Greater(t, tried, 1.25*cautious)
 	require.Greater(t, tried, 0.7*8*100*float64(span), "most of what eight tasks can do")
 }
 
-// TestRisingLoadIsNotBlamed plays serving tasks whose load builds up in three seconds, and
+// TestRisingLoadIsAttributedToServing plays serving tasks whose load builds up in three seconds, and
 // filling tasks of several images beside them that come and go meanwhile: the rise must not
 // be taken for their doing.
-func TestRisingLoadIsNotBlamed(t *testing.T) {
+func TestRisingLoadIsAttributedToServing(t *testing.T) {
 	images := []cottonlanding.Image{"l0", "l1", "l2", "l3"}
 	weights := make(map[cottonlanding.Image]float64)
 	for _, image := range images {
 		weights[image] = 0.1
 	}
-	s := share(t, weights)
+	s := newSharedWorker(t, weights)
 	s.load = func(now cottonlanding.Millis) float64 {
 		return min(0.15*float64(now-1000)/float64(cottonlanding.Second), 0.45)
 	}
@@ -302,7 +302,7 @@
 		id := cottonlanding.WorkflowID(fmt.Sprintf("f%d", number/10))
 		switch number % 10 {
 		case 1:
-			s.submit(id, "Fill", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillTime, Image: images[number/10%4], Fills: true, Checkpoints: true})
+			s.submit(id, "Fill", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Image: images[number/10%4], Fills: true, Checkpoints: true})
 		case 9:
 			s.cell.Cancel(id, s.now, func(error) {})
 		}
@@ -315,7 +315,7 @@
 }
 
 // learnt returns the weight of a pair and its doubt as last written down for a successor.
-func (s *shared) learnt(serving, filling cottonlanding.Image) (weight, doubt float64) {
+func (s *sharedWorker) learnt(serving, filling cottonlanding.Image) (weight, doubt float64) {
 	var row struct {
 		Serving []struct {
 			Image cottonlanding.Image
@@ -342,7 +342,7 @@
 }
 
 // paces returns the paces of the filling tasks of a workflow.
-func (s *shared) paces(id cottonlanding.WorkflowID) []int {
+func (s *sharedWorker) paces(id cottonlanding.WorkflowID) []int {
 	var out []int
 	for key, pace := range s.runs {
 		if key.Task.Workflow == id {
@@ -355,9 +355,9 @@
 // TestNewOwnerSetsPaces checks that a filling task which the owner before had
 // stopped from working goes on soon, and isn't taken for one that stands still.
 func TestNewOwnerSetsPaces(t *testing.T) {
-	s := share(t, map[cottonlanding.Image]float64{"light": 0.1})
+	s := newSharedWorker(t, map[cottonlanding.Image]float64{"light": 0.1})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
-	s.submit("fill", "Fill", cottonlanding.Step{Tasks: 4, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillTime, Image: "light", Fills: true, Checkpoints: true})
+	s.submit("fill", "Fill", cottonlanding.Step{Tasks: 4, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Image: "light", Fills: true, Checkpoints: true})
 	s.play(20*cottonlanding.Second, func(int) {})
 	require.Equal(t, []int{100, 100, 100, 100}, s.paces("fill"))
 	for key := range s.runs {
@@ -370,12 +370,12 @@
 	require.Equal(t, []int{100, 100, 100, 100}, s.paces("fill"))
 }
 
-// TestNewOwnerKnowsWhatWasLearnt checks that a new owner lets light filling tasks
+// TestNewOwnerInheritsWeights checks that a new owner lets light filling tasks
 // work from the start, and keeps heavy ones slow.
-func TestNewOwnerKnowsWhatWasLearnt(t *testing.T) {
-	s := share(t, map[cottonlanding.Image]float64{"light": 0.1, "heavy": 6})
+func TestNewOwnerInheritsWeights(t *testing.T) {
+	s := newSharedWorker(t, map[cottonlanding.Image]float64{"light": 0.1, "heavy": 6})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
-	fill := cottonlanding.Step{Tasks: 2, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillTime, Fills: true, Checkpoints: true}
+	fill := cottonlanding.Step{Tasks: 2, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Fills: true, Checkpoints: true}
 	fill.Image = "heavy"
 	s.submit("heavy", "Fill", fill)
 	s.play(10*cottonlanding.Second, func(int) {})
@@ -383,10 +383,10 @@
 	s.submit("light", "Fill", fill)
 	s.play(20*cottonlanding.Second, func(int) {})
 	s.takeOver()
-	s.over, s.worst = 0, 0
+	s.overTarget, s.longestOverTarget = 0, 0
 	before := s.worked["light"]
 	const span = 10 * cottonlanding.Second
 	s.play(span, func(int) {})
 	require.InDelta(t, 200*float64(span), s.worked["light"]-before, 10*float64(span), "light ones work at full pace")
-	require.Less(t, s.worst, harm/2)
+	require.Less(t, s.longestOverTarget, maxOverTarget/2)
 }
--- a/internal/workflow/planner/job.go
+++ b/internal/workflow/planner/job.go
@@ -24,7 +24,7 @@
 	size    rowSize
 	leftOut int
 	// forecast is what is left to be done, nil when it must be worked out anew.
-	forecast *outlook
+	forecast *forecast
 	// hasLasting says that a step of the job is lasting, interrupted that a task of such a step
 	// was interrupted and has waited for long.
 	hasLasting, interrupted bool
@@ -65,7 +65,7 @@
 	// ready says that all tasks of the steps before have ended well.
 	ready bool
 	// load is that of a serving step.
-	load ownLoad
+	load baseLoad
 	// nextRoomTry is when room may be made for the step again.
 	nextRoomTry cottonlanding.Millis
 	// loggedAt is when it was last logged why the step waits.
@@ -220,7 +220,7 @@
 // can't be. A workflow that was accepted before is accepted again.
 func (c *Cell) Submit(workflow cottonlanding.Workflow, now cottonlanding.Millis, done func(error)) {
 	if known := c.jobs[workflow.ID]; known != nil {
-		if known.isGuest() {
+		if known.isDelegatedHere() {
 			done(fmt.Errorf("cell %s keeps workflow %s: %w", known.delegatedBy, workflow.ID, cottonlanding.ErrUnavailable))
 			return
 		}
@@ -260,7 +260,7 @@
 
 // ownJob returns a workflow that this cell keeps, or nil.
 func (c *Cell) ownJob(id cottonlanding.WorkflowID) *job {
-	if j := c.jobs[id]; j != nil && !j.isGuest() {
+	if j := c.jobs[id]; j != nil && !j.isDelegatedHere() {
 		return j
 	}
 	return nil
@@ -300,7 +300,7 @@
 // Cancel cancels a workflow; done is called once that is committed. A final
 // workflow stays as it is. ErrNotFound means that there is none.
 func (c *Cell) Cancel(id cottonlanding.WorkflowID, now cottonlanding.Millis, done func(error)) {
-	if c.Pending(id) {
+	if c.HandOverPending(id) {
 		done(fmt.Errorf("workflow %s is being handed over: %w", id, cottonlanding.ErrUnavailable))
 		return
 	}
@@ -318,7 +318,7 @@
 
 // State returns the committed state of a workflow, and whether there is one.
 func (c *Cell) State(id cottonlanding.WorkflowID) (cottonlanding.WorkflowState, bool) {
-	if c.Pending(id) {
+	if c.HandOverPending(id) {
 		return cottonlanding.WorkflowPending, true
 	}
 	j := c.ownJob(id)
@@ -333,11 +333,11 @@
 func (c *Cell) Waiting(queue cottonlanding.QueueName) int {
 	count := 0
 	for _, j := range c.openJobs {
-		if j.Queue == queue && j.persisted && !j.started && !j.isGuest() && !j.state.Final() {
+		if j.Queue == queue && j.persisted && !j.started && !j.isDelegatedHere() && !j.state.Final() {
 			count++
 		}
 	}
-	return count + c.pendingIn(queue)
+	return count + c.pendingHandOversOf(queue)
 }
 
 // end makes a workflow final and stops what it runs.
@@ -350,7 +350,7 @@
 	})
 	c.openJobs = slices.DeleteFunc(c.openJobs, func(other *job) bool { return other == j })
 	c.markDirty(j)
-	c.logs.forEnd(state).Info(j.endedLine(), "Workflow", j.ID, "State", state, "Reason", reason, "After", now-j.accepted)
+	c.logs.forEnd(state).Info(j.endedMessage(), "Workflow", j.ID, "State", state, "Reason", reason, "After", now-j.accepted)
 }
 
 // prune forgets workflows that were final for long enough, and what they have waited for.
--- a/internal/workflow/planner/againcells_test.go
+++ b/internal/workflow/planner/lastingrestartcells_test.go
@@ -10,68 +10,68 @@
 )
 
 const (
-	// cellsPlayed is how many cells the histories of several have.
-	cellsPlayed = 3
-	// delegatePause and askPause are how often owners look for tasks to delegate, and ask about those that were.
-	delegatePause = 300 * cottonlanding.Millis(1)
-	askPause      = 250 * cottonlanding.Millis(1)
-	// givenFor is how long a cell counts what it has given to another one as taken there.
-	givenFor = 600 * cottonlanding.Millis(1)
+	// cellCount is how many cells the histories of several have.
+	cellCount = 3
+	// delegateInterval and askPause are how often owners look for tasks to delegate, and ask about those that were.
+	delegateInterval = 300 * cottonlanding.Millis(1)
+	askInterval      = 250 * cottonlanding.Millis(1)
+	// reservationTTL is how long a cell counts what it has given to another one as taken there.
+	reservationTTL = 600 * cottonlanding.Millis(1)
 )
 
-// givenRoom is room of a cell that a task was given.
-type givenRoom struct {
+// roomReservation is room of a cell that a task was given.
+type roomReservation struct {
 	cell int
 	cpu  cottonlanding.Millicores
 	at   cottonlanding.Millis
 }
 
-// delegations plays what passes between the cells of a history.
-type delegations struct {
-	*againHistory
+// delegationTraffic plays what passes between the cells of a history.
+type delegationTraffic struct {
+	*rerunHistory
 	stamps map[[2]int]planner.DelegationStamp
 	// epochs holds the owners to which the stamps were told.
 	epochs map[int]cottonlanding.Epoch
-	given  []givenRoom
-	late   []sentQuestion
+	given  []roomReservation
+	late   []sentRequest
 	// faultyUntil is until when calls between cells fail.
 	faultyUntil cottonlanding.Millis
 }
 
-func newDelegations(h *againHistory) *delegations {
-	d := &delegations{againHistory: h, stamps: make(map[[2]int]planner.DelegationStamp), epochs: make(map[int]cottonlanding.Epoch)}
-	h.between = d.pass
+func newDelegationTraffic(h *rerunHistory) *delegationTraffic {
+	d := &delegationTraffic{rerunHistory: h, stamps: make(map[[2]int]planner.DelegationStamp), epochs: make(map[int]cottonlanding.Epoch)}
+	h.between = d.exchange
 	if h.random.Intn(2) == 0 {
 		h.kinds = append(h.kinds, d.failCalls)
 	}
 	return d
 }
 
-func (d *delegations) failCalls(_ *againHistory, p *simulatedCell, left cottonlanding.Millis) {
+func (d *delegationTraffic) failCalls(_ *rerunHistory, p *simulatedCell, left cottonlanding.Millis) {
 	span := d.span(turnSpan, left)
-	d.tell("calls between cells fail for %d", span)
+	d.recordEvent("calls between cells fail for %d", span)
 	d.faultyUntil, p.lastFaultAt = d.now()+span, d.now()
 }
 
-// pass has owners delegate, and ask about what they have delegated.
-func (d *delegations) pass() {
+// exchange has owners delegate, and ask about what they have delegated.
+func (d *delegationTraffic) exchange() {
 	d.deliverLate()
 	for cell, p := range d.cells {
 		if !p.canStart() {
 			continue
 		}
 		d.forgetStamps(cell, p.epoch)
-		if p.now%delegatePause == 0 {
+		if p.now%delegateInterval == 0 {
 			d.delegate(cell)
 		}
-		if p.cell.TakeGuestNews() || p.now%askPause == 0 {
+		if p.cell.TakeDelegationChange() || p.now%askInterval == 0 {
 			d.ask(cell)
 		}
 	}
 }
 
 // forgetStamps has a new owner begin without what the one before was told.
-func (d *delegations) forgetStamps(cell int, epoch cottonlanding.Epoch) {
+func (d *delegationTraffic) forgetStamps(cell int, epoch cottonlanding.Epoch) {
 	if d.epochs[cell] == epoch {
 		return
 	}
@@ -82,18 +82,18 @@
 }
 
 // delegate has a cell delegate what finds a hole elsewhere.
-func (d *delegations) delegate(cell int) {
+func (d *delegationTraffic) delegate(cell int) {
 	p := d.cells[cell]
-	d.given = slices.DeleteFunc(d.given, func(g givenRoom) bool { return p.now-g.at >= givenFor })
+	d.given = slices.DeleteFunc(d.given, func(g roomReservation) bool { return p.now-g.at >= reservationTTL })
 	holes := d.holes(cell)
-	for _, task := range p.cell.Delegables(100, func(cottonlanding.WorkflowID) bool { return false }, p.now) {
+	for _, task := range p.cell.DelegableTasks(100, func(cottonlanding.WorkflowID) bool { return false }, p.now) {
 		for to := range d.cells {
 			at := slices.IndexFunc(holes[to], func(hole cottonlanding.Millicores) bool { return hole >= task.Need.CPU })
 			if at < 0 || slices.Contains(task.Avoid, cottonlanding.CellNumber(to)) {
 				continue
 			}
 			holes[to][at] -= task.Need.CPU
-			d.given = append(d.given, givenRoom{to, task.Need.CPU, p.now})
+			d.given = append(d.given, roomReservation{to, task.Need.CPU, p.now})
 			p.cell.Delegate(task.Ref, cottonlanding.CellNumber(to), p.now)
 			break
 		}
@@ -101,7 +101,7 @@
 }
 
 // holes returns what single workers of the other cells have free, less what they were given just now.
-func (d *delegations) holes(cell int) map[int][]cottonlanding.Millicores {
+func (d *delegationTraffic) holes(cell int) map[int][]cottonlanding.Millicores {
 	out := make(map[int][]cottonlanding.Millicores)
 	for to, p := range d.cells {
 		if to == cell || !p.owned() {
@@ -120,14 +120,14 @@
 }
 
 // ask asks the cells that run tasks of one. An owner's first answer shows its instant, so that it is asked again at once.
-func (d *delegations) ask(cell int) {
+func (d *delegationTraffic) ask(cell int) {
 	asked := d.cells[cell].cell.Delegations()
 	for _, to := range slices.Sorted(maps.Keys(asked)) {
 		for range 2 {
 			at := [2]int{cell, int(to)}
 			before := d.stamps[at].Epoch
-			question := planner.DelegationQuestion{Keeper: cottonlanding.CellNumber(cell), Last: d.stamps[at], Workflows: asked[to]}
-			if !d.askOne(at, question) || d.stamps[at].Epoch == before {
+			request := planner.DelegationRequest{Delegator: cottonlanding.CellNumber(cell), Last: d.stamps[at], Workflows: asked[to]}
+			if !d.askOne(at, request) || d.stamps[at].Epoch == before {
 				break
 			}
 		}
@@ -135,39 +135,39 @@
 }
 
 // askOne asks one question, and reports whether its answer came.
-func (d *delegations) askOne(at [2]int, question planner.DelegationQuestion) bool {
-	keeper, guest := d.cells[at[0]], d.cells[at[1]]
+func (d *delegationTraffic) askOne(at [2]int, request planner.DelegationRequest) bool {
+	delegator, delegate := d.cells[at[0]], d.cells[at[1]]
 	fault := ""
 	if d.now() < d.faultyUntil {
 		fault = []string{"", "lost", "late", "unanswered"}[d.random.Intn(4)]
-		keeper.lastFaultAt = keeper.now
+		delegator.lastFaultAt = delegator.now
 	}
 	switch {
-	case !guest.owned() || guest.now < guest.pausedUntil || fault == "lost":
+	case !delegate.owned() || delegate.now < delegate.pausedUntil || fault == "lost":
 		return false
 	case fault == "late":
-		d.late = append(d.late, sentQuestion{at[1], question})
+		d.late = append(d.late, sentRequest{at[1], request})
 		return false
 	}
-	answer := guest.cell.HoldGuests(question, guest.now)
+	response := delegate.cell.HandleDelegationRequest(request, delegate.now)
 	if fault == "unanswered" {
 		return false
 	}
-	d.stamps[at] = answer.Stamp
-	keeper.cell.Reported(cottonlanding.CellNumber(at[1]), answer, keeper.now)
+	d.stamps[at] = response.Stamp
+	delegator.cell.RecordDelegationResponse(cottonlanding.CellNumber(at[1]), response, delegator.now)
 	return true
 }
 
 // deliverLate has questions arrive that were on their way, once nothing fails any more or by chance.
-func (d *delegations) deliverLate() {
+func (d *delegationTraffic) deliverLate() {
 	left := d.late[:0]
 	for _, sent := range d.late {
-		guest := d.cells[sent.to]
+		delegate := d.cells[sent.to]
 		switch {
 		case d.now() < d.faultyUntil && d.random.Intn(20) > 0:
 			left = append(left, sent)
-		case guest.owned():
-			guest.cell.HoldGuests(sent.question, guest.now)
+		case delegate.owned():
+			delegate.cell.HandleDelegationRequest(sent.request, delegate.now)
 		}
 	}
 	d.late = left
@@ -180,9 +180,9 @@
 //	go test ./internal/workflow/planner -run TestLastingTasksRunAgainInOtherCells -args -again.seeds 1000
 func TestLastingTasksRunAgainInOtherCells(t *testing.T) {
 	t.Parallel()
-	playAgain(t, func(t *testing.T, seed int64) *againHistory {
-		h := newAgainHistory(t, seed, cellsPlayed)
-		newDelegations(h)
+	playHistories(t, func(t *testing.T, seed int64) *rerunHistory {
+		h := newRerunHistory(t, seed, cellCount)
+		newDelegationTraffic(h)
 		return h
 	})
 }
--- a/internal/workflow/planner/lastingwaits_test.go
+++ b/internal/workflow/planner/lastingwaits_test.go
@@ -206,9 +206,9 @@
 // TestDelegatedTaskIsDownFromItsLastRun: in its keeper's cell, a task that another cell ran counted as down since before it
 // was delegated, so that it went before others and took kept room at once when it came back.
 func TestDelegatedTaskIsDownFromItsLastRun(t *testing.T) {
-	n, question := delegated(t)
+	n, question := newDelegatedTasks(t)
 	for range 120 {
-		question.Last = n.answerOf(question).Stamp
+		question.Last = n.exchange(question).Stamp
 		n.cells[1].turn(100)
 		n.syncClocks()
 	}
--- a/internal/workflow/planner/latestarts_test.go
+++ b/internal/workflow/planner/latestarts_test.go
@@ -56,7 +56,7 @@
 			p.crashForGood("w1")
 			lost := p.now
 			for p.runner.Lasting() < 4 || p.now-lost < cottonlanding.Second {
-				require.Less(t, p.now-lost, runsAgainWithin+late, "what is late is no fault of the owner")
+				require.Less(t, p.now-lost, otherCellRestartTimeout+late, "what is late is no fault of the owner")
 				p.turn()
 			}
 			require.Empty(t, p.runner.Violations())
@@ -131,7 +131,7 @@
 			w.crashForGood(at)
 			lost := w.now
 			for w.runner.Lasting() < 1 || w.now-lost < 500 {
-				require.LessOrEqual(t, w.now-lost, runsAgainWithin)
+				require.LessOrEqual(t, w.now-lost, otherCellRestartTimeout)
 				if left := w.now - lost - 1500; changes > 0 && left >= 0 && left%2500 == 0 {
 					changes--
 					w.killOwner(600, func() {})
--- a/internal/workflow/planner/learnt.go
+++ b/internal/workflow/planner/learnt.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// learntEvery is how often what was learnt of images is written down. A pair is
+	// saveLearntInterval is how often what was learnt of images is written down. A pair is
 	// known after some three seconds, so that a successor lacks little.
-	learntEvery = 3 * cottonlanding.Second
-	// mostLearnt bounds the row, in bytes, well below the 64 KiB that the table takes.
-	mostLearnt = 32 << 10
-	// inheritedDoubt is the least doubt of a weight that a predecessor learnt: the
+	saveLearntInterval = 3 * cottonlanding.Second
+	// maxLearntBytes bounds the row, in bytes, well below the 64 KiB that the table takes.
+	maxLearntBytes = 32 << 10
+	// minInheritedStandardError is the least doubt of a weight that a predecessor learnt: the
 	// covariances between weights aren't written down.
-	inheritedDoubt = 0.15
+	minInheritedStandardError = 0.15
 )
 
 // learntRow is what an owner has learnt of how images disturb each other, for
@@ -65,14 +65,14 @@
 // rounded keeps two digits behind the point, which is finer than any doubt.
 func rounded(value float64) float64 { return math.Round(value*100) / 100 }
 
-// inherit takes in what a predecessor has learnt.
-func (p *pressure) inherit(row learntRow) {
+// restore takes in what a predecessor has learnt.
+func (p *pressure) restore(row learntRow) {
 	for _, serving := range row.Serving {
 		known := newWeightEstimate()
 		for _, pair := range serving.Pairs {
 			known.addImage(pair.Image)
 			at := known.index[pair.Image]
-			doubt := max(pair.Doubt, inheritedDoubt)
+			doubt := max(pair.Doubt, minInheritedStandardError)
 			known.weights[at], known.doubt[at][at] = pair.Weight, doubt*doubt
 		}
 		p.weights[serving.Image] = known
@@ -89,13 +89,13 @@
 	if err := json.Unmarshal(row.Value, &learnt); err != nil {
 		return fmt.Errorf("row %s: %w", row.Key, err)
 	}
-	c.pressure.inherit(learnt)
+	c.pressure.restore(learnt)
 	return nil
 }
 
 // learntDue reports whether what was learnt is to be written down again.
 func (c *Cell) learntDue(now cottonlanding.Millis) bool {
-	return now-c.learntAt >= learntEvery && len(c.pressure.weights) > 0
+	return now-c.learntAt >= saveLearntInterval && len(c.pressure.weights) > 0
 }
 
 // planLearnt adds what was learnt to a plan, from time to time.
@@ -105,8 +105,8 @@
 	}
 	c.learntAt = now
 	value := encode(c.pressure.row())
-	if len(value) > mostLearnt {
-		c.log.Warn("too much was learnt of images to write it down", "Bytes", len(value), "Most", mostLearnt)
+	if len(value) > maxLearntBytes {
+		c.log.Warn("too much was learnt of images to write it down", "Bytes", len(value), "Most", maxLearntBytes)
 		return
 	}
 	plan.learnt = true
--- a/internal/workflow/planner/leasebounds_test.go
+++ b/internal/workflow/planner/leasebounds_test.go
@@ -70,7 +70,7 @@
 	for _, first := range []cottonlanding.Millis{2500, 3000, 4000, 5000} {
 		for _, every := range []cottonlanding.Millis{2000, 3000, 5000, 7000} {
 			t.Run(fmt.Sprintf("first %s, then every %s", first, every), func(t *testing.T) {
-				require.LessOrEqual(t, downAfterLoss(t, first, every, 3), runsAgainWithin)
+				require.LessOrEqual(t, downAfterLoss(t, first, every, 3), otherCellRestartTimeout)
 			})
 		}
 	}
@@ -178,7 +178,7 @@
 // TestTaskLostWithItsOwnerRunsAgain: a lasting task whose worker and owner are lost at the same instant stayed down for longer than
 // its users' rule allows, since a cut-off owner might have renewed the lease for long.
 func TestTaskLostWithItsOwnerRunsAgain(t *testing.T) {
-	require.LessOrEqual(t, downAfterLoss(t, 0, 0, 1), runsAgainWithin)
+	require.LessOrEqual(t, downAfterLoss(t, 0, 0, 1), otherCellRestartTimeout)
 }
 
 // TestCutOffOwnerRespectsLeaseTail: an owner that is cut off renews leases on its workers, which its successor can't reach, for no longer
--- a/internal/workflow/planner/load.go
+++ b/internal/workflow/planner/load.go
@@ -76,7 +76,7 @@
 	j.started = j.started || j.showsStart()
 	for _, r := range j.rounds {
 		r.markReady(now)
-		r.unlockGuests()
+		r.markDelegatedReady()
 	}
 	if !j.state.Final() {
 		j.withdrawUnstartedRounds()
@@ -101,11 +101,11 @@
 
 func (c *Cell) loadTask(t *task, row taskRow, now cottonlanding.Millis) {
 	t.state, t.number, t.failures = row.State, row.Number, row.Failures
-	if t.away() {
+	if t.remote() {
 		t.job.size.remote += len(t.state)
 		t.delegationCommitted = true
 	}
-	if _, found := t.guestCell(); found {
+	if _, found := t.delegateCell(); found {
 		c.remote[t.job.ID] = t.job
 	}
 	t.setLife(row.Life)
--- a/internal/workflow/planner/mix.go
+++ b/internal/workflow/planner/mix.go
@@ -7,9 +7,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// borneAge is how old the count of filling images that serving ones bear may be: what is
+// maxToleratedCountsAge is how old the count of filling images that serving ones bear may be: what is
 // known of pairs changes within seconds.
-const borneAge = cottonlanding.Second
+const maxToleratedCountsAge = cottonlanding.Second
 
 // narrow returns the candidates on which a serving task may join others of other images.
 func (c *Cell) narrow(t *task, candidates []*worker, now cottonlanding.Millis) []*worker {
@@ -18,7 +18,7 @@
 	}
 	views := make([]cottonlanding.MixView, len(candidates))
 	for i, w := range candidates {
-		views[i] = c.pressure.mix(c.room(w, now).slacks, t.stage.Image, now)
+		views[i] = c.pressure.mixView(c.room(w, now).slacks, t.stage.Image, now)
 	}
 	var out []*worker
 	for _, at := range c.policy.Mixing.Narrow(views) {
@@ -27,28 +27,28 @@
 	return out
 }
 
-// mix returns what becomes of a worker on which some images serve if another joins them.
-func (p *pressure) mix(slacks []imageSlack, joining cottonlanding.Image, now cottonlanding.Millis) cottonlanding.MixView {
+// mixView returns what becomes of a worker on which some images serve if another joins them.
+func (p *pressure) mixView(slacks []imageSlack, joining cottonlanding.Image, now cottonlanding.Millis) cottonlanding.MixView {
 	images := make([]cottonlanding.Image, 0, len(slacks)+1)
 	for _, s := range slacks {
 		images = append(images, s.image)
 	}
-	view := cottonlanding.MixView{Bears: p.bears(images, now)}
+	view := cottonlanding.MixView{Bears: p.countTolerated(images, now)}
 	if !slices.Contains(images, joining) {
 		images = append(images, joining)
 	}
-	view.BearsAfter = p.bears(images, now)
+	view.BearsAfter = p.countTolerated(images, now)
 	return view
 }
 
-// bears counts the filling images that hardly disturb any of the serving ones.
-func (p *pressure) bears(serving []cottonlanding.Image, now cottonlanding.Millis) int {
-	if p.borne == nil || now-p.borneAt > borneAge {
-		p.borne, p.borneAt = make(map[string]int), now
+// countTolerated counts the filling images that hardly disturb any of the serving ones.
+func (p *pressure) countTolerated(serving []cottonlanding.Image, now cottonlanding.Millis) int {
+	if p.toleratedCounts == nil || now-p.toleratedCountsAt > maxToleratedCountsAge {
+		p.toleratedCounts, p.toleratedCountsAt = make(map[string]int), now
 	}
 	sorted := slices.Sorted(slices.Values(serving))
-	key := keyOf(sorted)
-	count, known := p.borne[key]
+	key := imagesKey(sorted)
+	count, known := p.toleratedCounts[key]
 	if known {
 		return count
 	}
@@ -57,11 +57,11 @@
 			count++
 		}
 	}
-	p.borne[key] = count
+	p.toleratedCounts[key] = count
 	return count
 }
 
-func keyOf(images []cottonlanding.Image) string {
+func imagesKey(images []cottonlanding.Image) string {
 	var key strings.Builder
 	for _, image := range images {
 		key.WriteString(string(image))
@@ -78,7 +78,7 @@
 			out[image] = true
 		}
 	}
-	for _, pairs := range p.others {
+	for _, pairs := range p.remoteFindings {
 		for image := range pairs {
 			out[image] = true
 		}
--- a/internal/workflow/planner/neighbours_test.go
+++ b/internal/workflow/planner/multicell_test.go
@@ -13,46 +13,46 @@
 )
 
 const (
-	// startsUntil is how long after a cancellation was acknowledged a task may still start. Source: the
+	// cancelledStartTimeout is how long after a cancellation was acknowledged a task may still start. Source: the
 	// users' rule on cancelled jobs.
-	startsUntil = 3 * cottonlanding.Second
-	// runsAgainWithin is how soon a lasting task must run where another cell has room. Source: the users' rule
+	cancelledStartTimeout = 3 * cottonlanding.Second
+	// otherCellRestartTimeout is how soon a lasting task must run where another cell has room. Source: the users' rule
 	// on lost tasks.
-	runsAgainWithin = 9 * cottonlanding.Second
+	otherCellRestartTimeout = 9 * cottonlanding.Second
 )
 
 // question is one that a keeper has sent, answer one that a guest cell has.
-type sentQuestion struct {
-	to       int
-	question planner.DelegationQuestion
+type sentRequest struct {
+	to      int
+	request planner.DelegationRequest
 }
 
-type sentAnswer struct {
-	keeper, from int
-	answer       planner.DelegationAnswer
+type sentResponse struct {
+	delegator, from int
+	response        planner.DelegationResponse
 }
 
-// neighbours plays several cells with one clock and one set of workers, each cell with rows and owners of
+// multiCell plays several cells with one clock and one set of workers, each cell with rows and owners of
 // its own.
-type neighbours struct {
+type multiCell struct {
 	t       require.TestingT
 	cells   []*world
 	stamps  map[[2]int]planner.DelegationStamp
-	late    []sentQuestion
-	overdue []sentAnswer
+	late    []sentRequest
+	overdue []sentResponse
 	// cancelledAt is when the cancellation of a workflow was acknowledged.
 	cancelledAt map[cottonlanding.WorkflowID]cottonlanding.Millis
 	// cancelling holds the workflows whose cancellation was asked for.
 	cancelling map[cottonlanding.WorkflowID]bool
-	broken     []string
+	violations []string
 	// choose chooses where the tasks of a cell go that go well.
-	choose func(cell int) func(planner.Delegable) (int, bool)
+	choose func(cell int) func(planner.DelegableTask) (int, bool)
 }
 
-func newNeighbours(t require.TestingT, count, workers int) *neighbours {
-	n := &neighbours{t: t, stamps: make(map[[2]int]planner.DelegationStamp), cancelledAt: make(map[cottonlanding.WorkflowID]cottonlanding.Millis),
+func newMultiCell(t require.TestingT, count, workers int) *multiCell {
+	n := &multiCell{t: t, stamps: make(map[[2]int]planner.DelegationStamp), cancelledAt: make(map[cottonlanding.WorkflowID]cottonlanding.Millis),
 		cancelling: make(map[cottonlanding.WorkflowID]bool)}
-	n.choose = n.roomy
+	n.choose = n.chooseByRoom
 	for number := range count {
 		w := newWorldOf(t, selector.Default().Planner)
 		w.workers, w.lives = nil, 100*number
@@ -70,21 +70,21 @@
 }
 
 // checkStart holds a start against the cancellation of its workflow.
-func (n *neighbours) checkStart(order planner.Order) {
+func (n *multiCell) checkStart(order planner.Order) {
 	at, cancelled := n.cancelledAt[order.Start.Task.Workflow]
-	if cancelled && n.cells[0].now-at > startsUntil {
-		n.broken = append(n.broken, fmt.Sprintf("%s starts %d ms after its workflow was cancelled", order.Start.Task.String(), n.cells[0].now-at))
+	if cancelled && n.cells[0].now-at > cancelledStartTimeout {
+		n.violations = append(n.violations, fmt.Sprintf("%s starts %d ms after its workflow was cancelled", order.Start.Task.String(), n.cells[0].now-at))
 	}
 }
 
-func (n *neighbours) wait(span cottonlanding.Millis) {
+func (n *multiCell) wait(span cottonlanding.Millis) {
 	for _, w := range n.cells {
 		w.now += span
 	}
 }
 
 // syncClocks has all cells follow the one that is ahead.
-func (n *neighbours) syncClocks() {
+func (n *multiCell) syncClocks() {
 	latest := cottonlanding.Millis(0)
 	for _, w := range n.cells {
 		latest = max(latest, w.now)
@@ -94,7 +94,7 @@
 	}
 }
 
-func (n *neighbours) cancel(cell int, id cottonlanding.WorkflowID) {
+func (n *multiCell) cancel(cell int, id cottonlanding.WorkflowID) {
 	w := n.cells[cell]
 	n.cancelling[id] = true
 	w.cell.Cancel(id, w.now, func(err error) {
@@ -105,28 +105,28 @@
 }
 
 // takeOver gives a cell its next owner; what was on its way to the one before gets lost.
-func (n *neighbours) takeOver(cell int) {
+func (n *multiCell) takeOver(cell int) {
 	n.cells[cell].takeOver()
 	for to := range n.cells {
 		delete(n.stamps, [2]int{cell, to})
 	}
-	n.overdue = slices.DeleteFunc(n.overdue, func(a sentAnswer) bool { return a.keeper == cell })
+	n.overdue = slices.DeleteFunc(n.overdue, func(a sentResponse) bool { return a.delegator == cell })
 }
 
 // delegate has a cell delegate what it may to a cell that is chosen for each task. No cell is a home, so that
 // workflows of which nothing has begun go this way as well.
-func (n *neighbours) delegate(cell int, choose func(planner.Delegable) (int, bool)) {
+func (n *multiCell) delegate(cell int, choose func(planner.DelegableTask) (int, bool)) {
 	w := n.cells[cell]
-	for _, task := range w.cell.Delegables(100, func(cottonlanding.WorkflowID) bool { return false }, w.now) {
+	for _, task := range w.cell.DelegableTasks(100, func(cottonlanding.WorkflowID) bool { return false }, w.now) {
 		if to, found := choose(task); found {
 			w.cell.Delegate(task.Ref, cottonlanding.CellNumber(to), w.now)
 		}
 	}
 }
 
-// roomy chooses a cell of which a worker has room, as hosts do.
-func (n *neighbours) roomy(cell int) func(planner.Delegable) (int, bool) {
-	return func(task planner.Delegable) (int, bool) {
+// chooseByRoom chooses a cell of which a worker has room, as hosts do.
+func (n *multiCell) chooseByRoom(cell int) func(planner.DelegableTask) (int, bool) {
+	return func(task planner.DelegableTask) (int, bool) {
 		for at, w := range n.cells {
 			report, usable := w.cell.Report(w.now)
 			avoided := slices.Contains(task.Avoid, cottonlanding.CellNumber(at))
@@ -139,31 +139,31 @@
 }
 
 // ask asks the cells that run tasks of one; fault decides what becomes of each question.
-func (n *neighbours) ask(cell int, fault func() string) {
-	keeper := n.cells[cell]
-	asked := keeper.cell.Delegations()
+func (n *multiCell) ask(cell int, fault func() string) {
+	delegator := n.cells[cell]
+	asked := delegator.cell.Delegations()
 	for _, to := range slices.Sorted(maps.Keys(asked)) {
 		at := [2]int{cell, int(to)}
-		question := planner.DelegationQuestion{Keeper: cottonlanding.CellNumber(cell), Last: n.stamps[at], Workflows: asked[to]}
-		guest := n.cells[to]
+		request := planner.DelegationRequest{Delegator: cottonlanding.CellNumber(cell), Last: n.stamps[at], Workflows: asked[to]}
+		delegate := n.cells[to]
 		switch fault() {
 		case "lost":
 		case "late":
-			n.late = append(n.late, sentQuestion{int(to), question})
+			n.late = append(n.late, sentRequest{int(to), request})
 		case "unanswered":
-			guest.cell.HoldGuests(question, guest.now)
+			delegate.cell.HandleDelegationRequest(request, delegate.now)
 		case "overdue":
-			n.overdue = append(n.overdue, sentAnswer{cell, int(to), guest.cell.HoldGuests(question, guest.now)})
+			n.overdue = append(n.overdue, sentResponse{cell, int(to), delegate.cell.HandleDelegationRequest(request, delegate.now)})
 		default:
-			answer := guest.cell.HoldGuests(question, guest.now)
-			n.stamps[at] = answer.Stamp
-			keeper.cell.Reported(to, answer, keeper.now)
+			response := delegate.cell.HandleDelegationRequest(request, delegate.now)
+			n.stamps[at] = response.Stamp
+			delegator.cell.RecordDelegationResponse(to, response, delegator.now)
 		}
 	}
 }
 
 // turn lets all go well for a while.
-func (n *neighbours) turn(span cottonlanding.Millis) {
+func (n *multiCell) turn(span cottonlanding.Millis) {
 	n.wait(span)
 	for cell, w := range n.cells {
 		w.turn(0)
@@ -173,16 +173,16 @@
 	}
 }
 
-func (n *neighbours) check(t require.TestingT) {
+func (n *multiCell) check(t require.TestingT) {
 	require.Empty(t, n.cells[0].runner.Violations())
-	require.Empty(t, n.broken)
+	require.Empty(t, n.violations)
 	for cell, w := range n.cells {
 		require.GreaterOrEqual(t, w.cell.Waiting("Bulk"), n.notBegun(cell), "what waits in cell %d", cell)
 	}
 }
 
 // notBegun counts the workflows of a cell that nobody has cancelled and of which no cell has begun a task.
-func (n *neighbours) notBegun(cell int) int {
+func (n *multiCell) notBegun(cell int) int {
 	queueOf := make(map[cottonlanding.WorkflowID]cottonlanding.QueueName)
 	for id := range n.cells[cell].accepted {
 		if !n.cancelling[id] {
@@ -193,12 +193,12 @@
 }
 
 // deliverLate has everything arrive that was on its way.
-func (n *neighbours) deliverLate() {
+func (n *multiCell) deliverLate() {
 	for _, sent := range n.late {
-		n.cells[sent.to].cell.HoldGuests(sent.question, n.cells[sent.to].now)
+		n.cells[sent.to].cell.HandleDelegationRequest(sent.request, n.cells[sent.to].now)
 	}
 	for _, sent := range n.overdue {
-		n.cells[sent.keeper].cell.Reported(cottonlanding.CellNumber(sent.from), sent.answer, n.cells[sent.keeper].now)
+		n.cells[sent.delegator].cell.RecordDelegationResponse(cottonlanding.CellNumber(sent.from), sent.response, n.cells[sent.delegator].now)
 	}
 	n.late, n.overdue = nil, nil
 }
--- a/internal/workflow/planner/order.go
+++ b/internal/workflow/planner/order.go
@@ -248,7 +248,7 @@
 	}
 	r.pace, r.nextTry = unknownPace, now+orderRetryInterval
 	if errors.Is(err, cottonlanding.ErrAmbiguous) {
-		r.resendPaceAt = now + reaffirmAfter
+		r.resendPaceAt = now + resendPaceAfter
 	}
 }
 
--- a/internal/workflow/planner/place.go
+++ b/internal/workflow/planner/place.go
@@ -34,7 +34,7 @@
 	c.abandonOverdueStarts(now)
 	c.beginRounds(now, wall)
 	c.place(now)
-	c.returnGuests(now)
+	c.returnDelegatedTasks(now)
 	c.prune(now)
 	c.logDowntimes()
 	c.logBlocked(now)
@@ -314,7 +314,7 @@
 // fillingCPU returns the processors that a filling task may expect on a worker, less
 // the fewer the more it would have to be slowed there.
 func (c *Cell) fillingCPU(w *worker, step cottonlanding.Step, now cottonlanding.Millis) cottonlanding.Millicores {
-	return cottonlanding.Millicores(float64(c.room(w, now).spare) * c.bearable(w, step, now))
+	return cottonlanding.Millicores(float64(c.room(w, now).spare) * c.sustainablePace(w, step, now))
 }
 
 // pickStarved returns a worker for a filling task of a workflow that has had
@@ -330,7 +330,7 @@
 		if !t.stage.Reserved().Fits(c.room(w, now).free) || !c.allowed(t, w, now) || c.blockedByIsolation(t, w, now) {
 			continue
 		}
-		if part := c.bearable(w, t.stage.Step, now); part > most {
+		if part := c.sustainablePace(w, t.stage.Step, now); part > most {
 			best, most = w, part
 		}
 	}
--- a/internal/workflow/planner/plan.go
+++ b/internal/workflow/planner/plan.go
@@ -224,7 +224,7 @@
 		if t.run != nil && t.run.phase == planned {
 			plan.runs = append(plan.runs, t.run)
 		}
-		if _, found := t.guestCell(); found {
+		if _, found := t.delegateCell(); found {
 			plan.remote = append(plan.remote, t)
 		}
 	})
@@ -320,7 +320,7 @@
 		c.delegationChanged = c.delegationChanged || !t.delegationCommitted || t.job.committedState.Final()
 		t.delegationCommitted = true
 	}
-	c.recordReferred(plan.referred, version)
+	c.recordCommittedReferrals(plan.referred, version)
 	if plan.learnt {
 		c.learntVersion = version
 	}
--- a/internal/workflow/planner/referral.go
+++ b/internal/workflow/planner/referral.go
@@ -27,14 +27,14 @@
 type referral struct {
 	cell    cottonlanding.CellNumber
 	version cottonlanding.Version
-	// since is when this owner came to know of it.
-	since cottonlanding.Millis
-	// gone says that the other cell has forgotten the workflow.
-	gone bool
-	// pending is a workflow that this cell had accepted, until the other one has it.
-	pending *cottonlanding.Workflow
-	// left says that its rows here are to be deleted with the next write.
-	left bool
+	// knownSince is when this owner came to know of it.
+	knownSince cottonlanding.Millis
+	// forgotten says that the other cell has forgotten the workflow.
+	forgotten bool
+	// pendingWorkflow is a workflow that this cell had accepted, until the other one has it.
+	pendingWorkflow *cottonlanding.Workflow
+	// deleteRows says that its rows here are to be deleted with the next write.
+	deleteRows bool
 }
 
 // ReferralKey names the row that says where a workflow is kept.
@@ -42,9 +42,9 @@
 	return p.Key(referralPrefix + string(id))
 }
 
-// ReferralOf reads from a referral's row which cell keeps the workflow, and whether that
+// DecodeReferral reads from a referral's row which cell keeps the workflow, and whether that
 // has yet to be told of it.
-func ReferralOf(row cottonlanding.Row) (cell cottonlanding.CellNumber, pending bool, err error) {
+func DecodeReferral(row cottonlanding.Row) (cell cottonlanding.CellNumber, pending bool, err error) {
 	var value referralRow
 	if err := json.Unmarshal(row.Value, &value); err != nil {
 		return 0, false, fmt.Errorf("row %s: %w", row.Key, err)
@@ -65,7 +65,7 @@
 // CommittedReferral is Referral for those that are committed.
 func (c *Cell) CommittedReferral(id cottonlanding.WorkflowID) (cottonlanding.CellNumber, bool) {
 	known, found := c.referrals[id]
-	if !found || known.version == 0 || known.gone || known.pending != nil {
+	if !found || known.version == 0 || known.forgotten || known.pendingWorkflow != nil {
 		return 0, false
 	}
 	return known.cell, true
@@ -77,15 +77,15 @@
 	known, found := c.referrals[id]
 	switch {
 	case !found:
-		c.referrals[id] = &referral{cell: to, since: now}
+		c.referrals[id] = &referral{cell: to, knownSince: now}
 		c.unplannedReferrals[id] = append(c.unplannedReferrals[id], done)
 		c.counts.Referred++
 		c.log.Info("workflow referred", "Workflow", id, "To", to, "Epoch", c.setup.Epoch)
-	case known.gone && c.unplannedReferrals[id] != nil:
-		known.gone = false // it is handed in once more
+	case known.forgotten && c.unplannedReferrals[id] != nil:
+		known.forgotten = false // it is handed in once more
 		delete(c.unplannedReferrals, id)
 		done(nil)
-	case known.gone:
+	case known.forgotten:
 		done(fmt.Errorf("the referral of workflow %s is being forgotten: %w", id, cottonlanding.ErrUnavailable))
 	case known.version > 0:
 		done(nil)
@@ -99,7 +99,7 @@
 // planReferrals adds referrals to a plan, as many as fit.
 func (c *Cell) planReferrals(plan *Plan) {
 	for _, id := range slices.Sorted(maps.Keys(c.unplannedReferrals)) {
-		if !plan.hasRoom(writesPerReferral) {
+		if !plan.hasRoom(maxReferralWrites) {
 			return
 		}
 		plan.add(c.referralWrites(id)...)
@@ -109,31 +109,31 @@
 	}
 }
 
-// writesPerReferral is the most rows that one referral takes.
-const writesPerReferral = 3
+// maxReferralWrites is the most rows that one referral takes.
+const maxReferralWrites = 3
 
 func (c *Cell) referralWrites(id cottonlanding.WorkflowID) []cottonlanding.Write {
 	known := c.referrals[id]
 	write := cottonlanding.Write{Key: ReferralKey(c.setup.Partition, id), Expect: known.version, Unchecked: true}
-	if known.gone {
+	if known.forgotten {
 		write.Delete = true
 		return []cottonlanding.Write{write}
 	}
-	write.Value = encode(referralRow{Cell: known.cell, Workflow: known.pending})
-	if !known.left {
+	write.Value = encode(referralRow{Cell: known.cell, Workflow: known.pendingWorkflow})
+	if !known.deleteRows {
 		return []cottonlanding.Write{write}
 	}
-	known.left = false
+	known.deleteRows = false
 	return []cottonlanding.Write{write,
 		{Key: SpecKey(c.setup.Partition, id), Delete: true, Unchecked: true},
 		{Key: StateKey(c.setup.Partition, id), Delete: true, Unchecked: true},
 	}
 }
 
-// recordReferred takes in that referrals were committed.
-func (c *Cell) recordReferred(ids []cottonlanding.WorkflowID, version cottonlanding.Version) {
+// recordCommittedReferrals takes in that referrals were committed.
+func (c *Cell) recordCommittedReferrals(ids []cottonlanding.WorkflowID, version cottonlanding.Version) {
 	for _, id := range ids {
-		if c.referrals[id].gone {
+		if c.referrals[id].forgotten {
 			delete(c.referrals, id)
 			continue
 		}
@@ -146,28 +146,28 @@
 func (c *Cell) OldReferrals(most int, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	out := make(map[cottonlanding.WorkflowID]cottonlanding.CellNumber)
 	for id, known := range c.referrals {
-		if len(out) < most && known.version > 0 && !known.gone && known.pending == nil && now-known.since > c.timing.Retention {
+		if len(out) < most && known.version > 0 && !known.forgotten && known.pendingWorkflow == nil && now-known.knownSince > c.timing.Retention {
 			out[id] = known.cell
 		}
 	}
 	return out
 }
 
-// KeepReferral has a referral looked at again after the time for which final workflows are
+// RenewReferral has a referral looked at again after the time for which final workflows are
 // kept: the other cell still knows the workflow.
-func (c *Cell) KeepReferral(id cottonlanding.WorkflowID, now cottonlanding.Millis) {
+func (c *Cell) RenewReferral(id cottonlanding.WorkflowID, now cottonlanding.Millis) {
 	if known := c.referrals[id]; known != nil {
-		known.since = now
+		known.knownSince = now
 	}
 }
 
 // ForgetReferral removes a referral whose workflow the other cell has forgotten.
 func (c *Cell) ForgetReferral(id cottonlanding.WorkflowID) {
 	known := c.referrals[id]
-	if known == nil || known.version == 0 || known.gone {
+	if known == nil || known.version == 0 || known.forgotten {
 		return
 	}
-	known.gone = true
+	known.forgotten = true
 	c.unplannedReferrals[id] = []func(error){}
 }
 
@@ -178,7 +178,7 @@
 		if err := json.Unmarshal(row.Value, &value); err != nil {
 			return fmt.Errorf("row %s: %w", row.Key, err)
 		}
-		c.referrals[cottonlanding.WorkflowID(lastSegment(row.Key))] = &referral{cell: value.Cell, version: row.Version, since: now, pending: value.Workflow}
+		c.referrals[cottonlanding.WorkflowID(lastSegment(row.Key))] = &referral{cell: value.Cell, version: row.Version, knownSince: now, pendingWorkflow: value.Workflow}
 	}
 	return nil
 }
--- a/internal/workflow/planner/referral_test.go
+++ b/internal/workflow/planner/referral_test.go
@@ -12,20 +12,20 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// home plays a cell that refers workflows, its owners and its table.
-type home struct {
+// referringCell plays a cell that refers workflows, its owners and its table.
+type referringCell struct {
 	t       *rapid.T
 	now     cottonlanding.Millis
 	cell    *planner.Cell
 	rows    map[cottonlanding.Key]cottonlanding.Row
 	version cottonlanding.Version
-	// told is where callers were told that a workflow is kept.
-	told map[cottonlanding.WorkflowID]cottonlanding.CellNumber
+	// confirmed is where callers were confirmed that a workflow is kept.
+	confirmed map[cottonlanding.WorkflowID]cottonlanding.CellNumber
 	// forgotten are those that the other cell has forgotten.
 	forgotten []cottonlanding.WorkflowID
 }
 
-func (h *home) takeOver() {
+func (h *referringCell) takeOver() {
 	if h.cell != nil {
 		h.cell.Abandon(cottonlanding.ErrAmbiguous)
 	}
@@ -38,7 +38,7 @@
 }
 
 // refer hands a workflow in. The cell that is to keep it may be another one each time.
-func (h *home) refer(id cottonlanding.WorkflowID, to cottonlanding.CellNumber) {
+func (h *referringCell) refer(id cottonlanding.WorkflowID, to cottonlanding.CellNumber) {
 	if known, found := h.cell.Referral(id); found {
 		to = known
 	}
@@ -46,17 +46,17 @@
 		if err != nil {
 			return
 		}
-		if before, found := h.told[id]; found && !slices.Contains(h.forgotten, id) {
+		if before, found := h.confirmed[id]; found && !slices.Contains(h.forgotten, id) {
 			require.Equal(h.t, before, to, "workflow %s is kept in two cells", id)
 		}
-		h.told[id] = to
+		h.confirmed[id] = to
 		h.forgotten = slices.DeleteFunc(h.forgotten, func(other cottonlanding.WorkflowID) bool { return other == id })
 	})
 }
 
 // commit makes a plan and applies it or, if it is lost, only maybe; an owner that isn't
 // sure of its commit ends.
-func (h *home) commit(lost, applied bool) {
+func (h *referringCell) commit(lost, applied bool) {
 	plan := h.cell.Plan(h.now)
 	if plan == nil {
 		return
@@ -78,12 +78,12 @@
 	h.cell.Committed(plan, h.version)
 }
 
-// TestReferralsStay refers workflows again and again, with owners that end before, within
+// TestReferralsAreStable refers workflows again and again, with owners that end before, within
 // and after their commits: a workflow that somebody was told of is kept in one cell until
 // that has forgotten it, and only then forgotten here.
-func TestReferralsStay(t *testing.T) {
+func TestReferralsAreStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &home{t: t, now: 1000, rows: make(map[cottonlanding.Key]cottonlanding.Row), told: make(map[cottonlanding.WorkflowID]cottonlanding.CellNumber)}
+		h := &referringCell{t: t, now: 1000, rows: make(map[cottonlanding.Key]cottonlanding.Row), confirmed: make(map[cottonlanding.WorkflowID]cottonlanding.CellNumber)}
 		h.takeOver()
 		ids := []cottonlanding.WorkflowID{"a", "b", "c", "d"}
 		t.Repeat(map[string]func(*rapid.T){
@@ -99,7 +99,7 @@
 				for id := range h.cell.OldReferrals(10, h.now) {
 					known := rapid.Bool().Draw(t, "known")
 					if known {
-						h.cell.KeepReferral(id, h.now)
+						h.cell.RenewReferral(id, h.now)
 						continue
 					}
 					h.forgotten = append(h.forgotten, id)
@@ -107,7 +107,7 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				for id, to := range h.told {
+				for id, to := range h.confirmed {
 					known, found := h.cell.Referral(id)
 					if slices.Contains(h.forgotten, id) {
 						continue
--- a/internal/workflow/planner/removedqueue_test.go
+++ b/internal/workflow/planner/removedqueue_test.go
@@ -22,11 +22,11 @@
 	step := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 1}}
 	home.Submit(cottonlanding.Workflow{ID: "waits", Queue: "Q", Steps: []cottonlanding.Step{step}}, 1000, func(err error) { require.NoError(t, err) })
 	home.Committed(home.Plan(1000), 1)
-	require.Len(t, home.Leavers(1, 3000), 1, "it may leave while the queue is known")
+	require.Len(t, home.HandOverCandidates(1, 3000), 1, "it may leave while the queue is known")
 	for _, cell := range []*planner.Cell{home, other} {
 		cell.SetQueues(cottonlanding.Queues{Version: 2})
 	}
-	for _, workflow := range home.Leavers(1, 3000) {
+	for _, workflow := range home.HandOverCandidates(1, 3000) {
 		other.Submit(workflow, 3000, func(err error) { require.NoError(t, err, "the other cell takes what is handed over") })
 	}
 }
--- a/internal/workflow/planner/room.go
+++ b/internal/workflow/planner/room.go
@@ -61,7 +61,7 @@
 		w.room.recordPreemptible(r)
 	}
 	serving, filling := w.servingAndFilling()
-	w.room.hasTrial, w.room.calm = c.trialRuns(serving, filling), c.calm(serving)
+	w.room.hasTrial, w.room.calm = c.includesTrial(serving, filling), c.calm(serving)
 	for _, s := range serving {
 		w.room.recordSlack(s.step.Image, c.pressure.slack(s, filling, w.info.Capacity.CPU, now))
 	}
--- a/internal/workflow/planner/roomelsewhere_test.go
+++ b/internal/workflow/planner/roomelsewhere_test.go
@@ -12,7 +12,7 @@
 // TestInterruptedTaskFindsRoomThatShortOnesTakeElsewhere: a lasting task whose full cell lost a worker waited beside another cell for as long as
 // short tasks followed each other there: cells tell of what is free at an instant, and keep no worker for tasks of others.
 func TestInterruptedTaskFindsRoomThatShortOnesTakeElsewhere(t *testing.T) {
-	n := newNeighbours(t, 2, 2)
+	n := newMultiCell(t, 2, 2)
 	n.turn(100)
 	n.cells[0].submit("l", "Urgent", lasting(2, 1, 7000))
 	for range 5 {
@@ -33,7 +33,7 @@
 	n.cells[0].runner.Crash(n.cells[0].workers[0].ID)
 	crashed := n.cells[0].now
 	for n.cells[0].runner.Lasting() < 2 || n.cells[0].now-crashed < cottonlanding.Second {
-		require.LessOrEqual(t, n.cells[0].now-crashed, runsAgainWithin, "the other cell has room twice over beside its short tasks")
+		require.LessOrEqual(t, n.cells[0].now-crashed, otherCellRestartTimeout, "the other cell has room twice over beside its short tasks")
 		play()
 	}
 }
--- a/internal/workflow/planner/rowsize_test.go
+++ b/internal/workflow/planner/rowsize_test.go
@@ -257,7 +257,7 @@
 		p.requireAccepted(cottonlanding.Workflow{ID: id, Queue: "Q", Steps: []cottonlanding.Step{step}})
 	}
 	p.now += cottonlanding.Second
-	leavers := p.cell.Leavers(10, p.now)
+	leavers := p.cell.HandOverCandidates(10, p.now)
 	require.Len(t, leavers, 1)
 	require.EqualValues(t, "few", leavers[0].ID)
 	other := newRowSimulation(t, longID("i", 200))
--- a/internal/workflow/planner/run.go
+++ b/internal/workflow/planner/run.go
@@ -260,7 +260,7 @@
 // lapse ends the runs on workers whose lease surely ran out. A new owner first asks
 // each of them: what it ran may have ended well before that, and must not be run again.
 func (c *Cell) lapse(now cottonlanding.Millis) {
-	c.settleSuccessors(now)
+	c.endReplacedWorkers(now)
 	for _, w := range c.sortedWorkers() {
 		switch {
 		case w.lapsed(now):
--- a/internal/workflow/planner/shared.go
+++ b/internal/workflow/planner/sharedlearnt.go
@@ -18,20 +18,20 @@
 	precision, moment float64
 }
 
-// firstPrecision is that of the weight which is assumed of all pairs.
-const firstPrecision = 1 / (initialStandardError * initialStandardError)
+// initialPrecision is that of the weight which is assumed of all pairs.
+const initialPrecision = 1 / (initialStandardError * initialStandardError)
 
 // findingOf returns what is known of a pair beyond the assumption.
 func findingOf(pair cottonlanding.PairView) finding {
-	precision := 1/(pair.Doubt*pair.Doubt) - firstPrecision
+	precision := 1/(pair.Doubt*pair.Doubt) - initialPrecision
 	if precision <= 0 {
 		return finding{}
 	}
-	return finding{precision, pair.Weight/(pair.Doubt*pair.Doubt) - firstWeight*firstPrecision}
+	return finding{precision, pair.Weight/(pair.Doubt*pair.Doubt) - initialWeight*initialPrecision}
 }
 
-// join returns what is known of a pair with a finding of others.
-func join(own cottonlanding.PairView, others finding) cottonlanding.PairView {
+// combine returns what is known of a pair with a finding of others.
+func combine(own cottonlanding.PairView, others finding) cottonlanding.PairView {
 	if others.precision == 0 {
 		return own
 	}
@@ -51,33 +51,33 @@
 			f[serving.Image] = make(map[cottonlanding.Image]finding)
 		}
 		for _, pair := range serving.Pairs {
-			one := findingOf(cottonlanding.PairView{Weight: pair.Weight, Doubt: max(pair.Doubt, inheritedDoubt)})
+			one := findingOf(cottonlanding.PairView{Weight: pair.Weight, Doubt: max(pair.Doubt, minInheritedStandardError)})
 			sum := f[serving.Image][pair.Image]
 			f[serving.Image][pair.Image] = finding{sum.precision + one.precision, sum.moment + one.moment}
 		}
 	}
 }
 
-// ShareLearnt takes in the rows in which all other cells have written what they learnt,
+// LoadLearntByOthers takes in the rows in which all other cells have written what they learnt,
 // in place of those taken in before.
-func (c *Cell) ShareLearnt(rows []cottonlanding.Row) error {
-	others := make(findings)
+func (c *Cell) LoadLearntByOthers(rows []cottonlanding.Row) error {
+	remoteFindings := make(findings)
 	for _, row := range rows {
 		var learnt learntRow
 		if err := json.Unmarshal(row.Value, &learnt); err != nil {
 			return fmt.Errorf("row %s: %w", row.Key, err)
 		}
-		others.add(learnt)
+		remoteFindings.add(learnt)
 		for _, serving := range learnt.Serving {
 			c.pressure.recordBase(serving.Image, serving.Base)
 		}
 	}
-	c.pressure.others = others
+	c.pressure.remoteFindings = remoteFindings
 	return nil
 }
 
-// Weighs reports whether what cells have learnt of images is of use here.
-func (c *Cell) Weighs() bool { return c.hasImages }
+// HasImages reports whether what cells have learnt of images is of use here.
+func (c *Cell) HasImages() bool { return c.hasImages }
 
 // recordBase keeps the shortest tail seen of an image.
 func (p *pressure) recordBase(image cottonlanding.Image, tail cottonlanding.Millis) {
--- a/internal/workflow/planner/shared_test.go
+++ b/internal/workflow/planner/sharedlearnt_test.go
@@ -9,15 +9,15 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestCellsShareWhatTheyLearn plays two cells whose serving and filling images are the
+// TestCellsShareWeights plays two cells whose serving and filling images are the
 // same, as in a deployment where no cell sees each pair often enough by itself: what one
 // has learnt the other goes by from the start, and one that shares nothing does not.
-func TestCellsShareWhatTheyLearn(t *testing.T) {
+func TestCellsShareWeights(t *testing.T) {
 	weights := map[cottonlanding.Image]float64{"light": 0.1, "heavy": 6}
-	fill := cottonlanding.Step{Tasks: 2, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillTime, Fills: true, Checkpoints: true}
+	fill := cottonlanding.Step{Tasks: 2, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Fills: true, Checkpoints: true}
 	serve := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target}
 
-	first := share(t, weights)
+	first := newSharedWorker(t, weights)
 	first.submit("serve", "Serve", serve)
 	fill.Image = "heavy"
 	first.submit("heavy", "Fill", fill)
@@ -28,11 +28,11 @@
 	row := first.rows[planner.LearntKey(partition)]
 
 	worked := func(shared bool) float64 {
-		second := share(t, weights)
+		second := newSharedWorker(t, weights)
 		second.submit("serve", "Serve", serve)
 		second.play(5*cottonlanding.Second, func(int) {})
 		if shared {
-			require.NoError(t, second.cell.ShareLearnt([]cottonlanding.Row{row}))
+			require.NoError(t, second.cell.LoadLearntByOthers([]cottonlanding.Row{row}))
 		}
 		fill.Image = "heavy"
 		second.submit("heavy", "Fill", fill)
@@ -44,6 +44,6 @@
 }
 
 func TestUnreadableFindingsAreRefused(t *testing.T) {
-	s := share(t, nil)
-	require.Error(t, s.cell.ShareLearnt([]cottonlanding.Row{{Key: "Other:Learnt/Images", Value: []byte("{")}}))
+	s := newSharedWorker(t, nil)
+	require.Error(t, s.cell.LoadLearntByOthers([]cottonlanding.Row{{Key: "Other:Learnt/Images", Value: []byte("{")}}))
 }
--- a/internal/workflow/planner/ownersinseries_test.go
+++ b/internal/workflow/planner/successiveowners_test.go
@@ -33,8 +33,8 @@
 	w.takeOverFrom(killed + ownerGoneAfter)
 }
 
-// turnHanging is a turn in which looks at a worker hang for a while before they fail.
-func (w *world) turnHanging(id cottonlanding.WorkerID, hangsSince *cottonlanding.Millis, lookTakes cottonlanding.Millis) {
+// turnWithHangingPolls is a turn in which looks at a worker hang for a while before they fail.
+func (w *world) turnWithHangingPolls(id cottonlanding.WorkerID, hangsSince *cottonlanding.Millis, lookTakes cottonlanding.Millis) {
 	w.decide(turnSpan)
 	for _, info := range w.workers {
 		if info.ID != id {
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestBoundsOutliveAnOwnerThatNeverAsked: an owner that was lost before it had asked a silent worker took off the bound that it had
+// TestBoundsSurviveOwnerThatPolledNobody: an owner that was lost before it had asked a silent worker took off the bound that it had
 // inherited, so that the next one waited anew.
-func TestBoundsOutliveAnOwnerThatNeverAsked(t *testing.T) {
+func TestBoundsSurviveOwnerThatPolledNobody(t *testing.T) {
 	for _, lives := range []cottonlanding.Millis{200, 500, 1000, 1500} {
 		for _, unlist := range []bool{true, false} {
 			t.Run(fmt.Sprintf("the next one lives %s, unlisted %t", lives, unlist), func(t *testing.T) {
@@ -63,7 +63,7 @@
 				hang := cottonlanding.Millis(0)
 				run := func(until cottonlanding.Millis) {
 					for w.now < until {
-						w.turnHanging("w1", &hang, cottonlanding.Second)
+						w.turnWithHangingPolls("w1", &hang, cottonlanding.Second)
 						if unlist && w.now-lost == 4500 {
 							w.delist("w1")
 						}
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestBoundsOutliveAnOwnerThatWroteNothing: an owner that was lost while it loaded the rows made the bounds useless that the one before
+// TestBoundsSurviveOwnerLostWhileLoading: an owner that was lost while it loaded the rows made the bounds useless that the one before
 // had written.
-func TestBoundsOutliveAnOwnerThatWroteNothing(t *testing.T) {
+func TestBoundsSurviveOwnerLostWhileLoading(t *testing.T) {
 	w := newLastingWorld(t)
 	w.crashForGood("w1")
 	lost := w.now
@@ -105,9 +105,9 @@
 	require.LessOrEqual(t, w.now-lost, 9*cottonlanding.Second)
 }
 
-// TestListedSilentWorkersAreGivenUpInTime: each new owner first asked a worker that was cut off for three seconds, so that its lasting tasks
+// TestSilentWorkersAreGivenUpInTime: each new owner first asked a worker that was cut off for three seconds, so that its lasting tasks
 // stayed down for as long as owners changed.
-func TestListedSilentWorkersAreGivenUpInTime(t *testing.T) {
+func TestSilentWorkersAreGivenUpInTime(t *testing.T) {
 	for _, every := range []cottonlanding.Millis{2500, 3000, 3500, 4000} {
 		t.Run(fmt.Sprint(every), func(t *testing.T) {
 			w := newLastingWorld(t)
@@ -122,7 +122,7 @@
 					w.killOwner(600, func() {})
 					hang = 0
 				}
-				w.turnHanging("w1", &hang, cottonlanding.Second)
+				w.turnWithHangingPolls("w1", &hang, cottonlanding.Second)
 				if w.runner.Lasting() < 4 && down == 0 {
 					down = w.now
 				}
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestOlderOwnersAreCountedOn: an owner went by the end of the one before alone, and gave up runs whose leases a still older one, which
+// TestLeasesFromEarlierOwnersCount: an owner went by the end of the one before alone, and gave up runs whose leases a still older one, which
 // was cut off, had renewed for longer.
-func TestOlderOwnersAreCountedOn(t *testing.T) {
+func TestLeasesFromEarlierOwnersCount(t *testing.T) {
 	w := newLastingWorld(t)
 	// The first owner may own the cell for 4 s more by its last beat, and is cut off from the table.
 	w.ownedFor = 4000
@@ -163,7 +163,7 @@
 	step := func() {
 		w.decide(turnSpan)
 		for _, info := range w.workers {
-			w.lookUnless(info.ID, "w1")
+			w.pollUnless(info.ID, "w1")
 		}
 		firstLook()
 		require.Empty(t, w.runner.Violations())
@@ -182,8 +182,8 @@
 	}
 }
 
-// lookUnless looks at a worker, or fails the look.
-func (w *world) lookUnless(id, silent cottonlanding.WorkerID) {
+// pollUnless looks at a worker, or fails the look.
+func (w *world) pollUnless(id, silent cottonlanding.WorkerID) {
 	if id != silent {
 		w.poll(id, true)
 		return
--- a/internal/workflow/planner/successor.go
+++ b/internal/workflow/planner/successor.go
@@ -11,9 +11,9 @@
 // has answered there what it was asked after that life's last answer had come. That another one is listed there says nothing: entries of lives that have ended
 // stay for some seconds, also beside and after those of their successors.
 
-// settleSuccessors ends the runs, and settles the open lives, of workers that are no longer listed and at whose
+// endReplacedWorkers ends the runs, and settles the open lives, of workers that are no longer listed and at whose
 // addresses others answer.
-func (c *Cell) settleSuccessors(now cottonlanding.Millis) {
+func (c *Cell) endReplacedWorkers(now cottonlanding.Millis) {
 	var gone []*worker
 	for _, w := range c.sortedWorkers() {
 		if !w.listed && w.runs.size() > 0 {
@@ -23,7 +23,7 @@
 	if len(gone) == 0 && len(c.openLivesByWorker) == 0 {
 		return
 	}
-	answering := c.answeringAt()
+	answering := c.answeringByAddress()
 	for _, w := range gone {
 		if successor := answering[w.info.Address]; successor != nil && successor.lastAnswerPollSentAt > w.lastAnswerAt {
 			c.loseWorker(w, now, lossBySuccessor)
@@ -31,14 +31,14 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.openLivesByWorker)) {
-		if c.succeeded(id, answering) {
+		if c.isReplaced(id, answering) {
 			c.resolveOpenLives(id, assumeEnded, now)
 		}
 	}
 }
 
-// answeringAt returns the listed workers that answer, by address.
-func (c *Cell) answeringAt() map[cottonlanding.Address]*worker {
+// answeringByAddress returns the listed workers that answer, by address.
+func (c *Cell) answeringByAddress() map[cottonlanding.Address]*worker {
 	out := make(map[cottonlanding.Address]*worker)
 	for _, w := range c.sortedWorkers() {
 		if w.listed && w.lastAnswerAt > 0 && !w.pollFailed && w.info.Address != "" {
@@ -48,8 +48,8 @@
 	return out
 }
 
-// succeeded reports whether another worker has answered in place of one that tasks have left open.
-func (c *Cell) succeeded(id cottonlanding.WorkerID, answering map[cottonlanding.Address]*worker) bool {
+// isReplaced reports whether another worker has answered in place of one that tasks have left open.
+func (c *Cell) isReplaced(id cottonlanding.WorkerID, answering map[cottonlanding.Address]*worker) bool {
 	w := c.workers[id]
 	successor := answering[c.openLivesByWorker[id].address]
 	if successor == nil || successor.info.ID == id || w != nil && w.listed {
--- a/internal/workflow/planner/successor_test.go
+++ b/internal/workflow/planner/successor_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// playHanging lets a while pass in which the looks at a worker hang.
-func (w *world) playHanging(id cottonlanding.WorkerID, span cottonlanding.Millis) {
+// playWithHangingPolls lets a while pass in which the looks at a worker hang.
+func (w *world) playWithHangingPolls(id cottonlanding.WorkerID, span cottonlanding.Millis) {
 	for end := w.now + span; w.now < end; {
 		w.decide(turnSpan)
 		for _, worker := range w.workers {
@@ -32,33 +32,33 @@
 	w.addLife(w.workers[0])
 	came := len(w.workers) - 1
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
-	w.playHanging("w1", 200)
+	w.playWithHangingPolls("w1", 200)
 	w.submit("lasts", "Urgent", cottonlanding.Step{Tasks: 8, Lasting: true, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}})
-	w.playHanging("w1", 400)
+	w.playWithHangingPolls("w1", 400)
 	require.Equal(t, 8, w.runner.Lasting())
 	if ownerChanges {
 		w.takeOverFrom(w.now + ownerGoneAfter)
-		w.playHanging("w1", 100)
+		w.playWithHangingPolls("w1", 100)
 	}
 	w.unlist(came)
 	return w
 }
 
-// TestEntryOfAnEndedLifeIsNoSuccessor: the entry of a life that had crashed stood longer than that of the worker which came at its address.
+// TestStaleEntryOfEndedLife: the entry of a life that had crashed stood longer than that of the worker which came at its address.
 // The latter served on and was taken for ended, and its tasks ran twice.
-func TestEntryOfAnEndedLifeIsNoSuccessor(t *testing.T) {
+func TestStaleEntryOfEndedLife(t *testing.T) {
 	for _, ownerChanges := range []bool{false, true} {
 		w := playStaleEntry(t, ownerChanges)
-		w.playHanging("w1", cottonlanding.Second)
+		w.playWithHangingPolls("w1", cottonlanding.Second)
 		require.Empty(t, w.runner.Violations(), "owner changes: %t", ownerChanges)
 		require.Equal(t, 8, w.runner.Lasting())
 	}
 }
 
-// TestEntryOfACrashedLifeIsNoSuccessor: a worker crashes, another one comes at its address, leaves and takes its entry
+// TestStaleEntryOfCrashedLife: a worker crashes, another one comes at its address, leaves and takes its entry
 // off the list while that of the crashed one, which nobody has asked yet, still stands. The crashed one was taken
 // for the successor of the one that served on, whose tasks ran twice.
-func TestEntryOfACrashedLifeIsNoSuccessor(t *testing.T) {
+func TestStaleEntryOfCrashedLife(t *testing.T) {
 	w := newWorldWithBirths(t)
 	crashed := w.workers[0]
 	w.runner.Crash(crashed.ID)
@@ -88,9 +88,9 @@
 	require.Equal(t, 1, w.runner.Starts())
 }
 
-// TestAnswersOfTwoLivesMayCross: an answer that a worker had made before it ended came after those of the one at its address, which had left the
+// TestLateAnswerOfEarlierLife: an answer that a worker had made before it ended came after those of the one at its address, which had left the
 // list first and was taken for ended.
-func TestAnswersOfTwoLivesMayCross(t *testing.T) {
+func TestLateAnswerOfEarlierLife(t *testing.T) {
 	w := newWorldWithBirths(t)
 	old := w.workers[0]
 	next, found := w.cell.NextPoll(old.ID, w.now)
--- a/internal/workflow/planner/trial.go
+++ b/internal/workflow/planner/trial.go
@@ -6,10 +6,10 @@
 // serving one that isn't busy, one at a time on each worker, and its worker is looked at
 // often until figures have shown what it does.
 
-// trialRoom is how much less busy than its aim a serving task must be for a trial beside
+// trialHeadroom is how much less busy than its aim a serving task must be for a trial beside
 // it. A tenth of a worker, as filling tasks use, adds 0.1 to 0.4 if the images go badly
 // together: the task is then near its target for the half second until that is seen.
-const trialRoom = 0.1
+const trialHeadroom = 0.1
 
 // untried reports whether the pair has to be tried.
 func (p *pressure) untried(filling, serving cottonlanding.Image) bool {
@@ -27,8 +27,8 @@
 	return out
 }
 
-// logTried logs which trials a figure has ended, and what they have shown.
-func (c *Cell) logTried(trials []cottonlanding.Image, serving cottonlanding.Image) {
+// logTrialResults logs which trials a figure has ended, and what they have shown.
+func (c *Cell) logTrialResults(trials []cottonlanding.Image, serving cottonlanding.Image) {
 	for _, filling := range trials {
 		if c.pressure.untried(filling, serving) {
 			continue
@@ -38,8 +38,8 @@
 	}
 }
 
-// trialRuns reports whether a filling task beside serving ones is a trial.
-func (c *Cell) trialRuns(serving, filling []*run) bool {
+// includesTrial reports whether a filling task beside serving ones is a trial.
+func (c *Cell) includesTrial(serving, filling []*run) bool {
 	for _, f := range filling {
 		if f.paceGoal == 0 {
 			continue // it disturbs nobody
@@ -56,16 +56,16 @@
 // calm reports whether all serving tasks are well below their aims by their last figures.
 func (c *Cell) calm(serving []*run) bool {
 	for _, s := range serving {
-		if s.tailLatency > 0 && c.pressure.busy(s, s.tailLatency) > c.pressure.aim(s)-trialRoom {
+		if s.tailLatency > 0 && c.pressure.utilization(s, s.tailLatency) > c.pressure.utilizationGoal(s)-trialHeadroom {
 			return false
 		}
 	}
 	return true
 }
 
-// mayTry reports whether a task of a step may be placed on a worker as far as trials
+// mayRunTrial reports whether a task of a step may be placed on a worker as far as trials
 // are concerned: it would be none, or the worker is fit for one.
-func (c *Cell) mayTry(w *worker, step cottonlanding.Step, now cottonlanding.Millis) bool {
+func (c *Cell) mayRunTrial(w *worker, step cottonlanding.Step, now cottonlanding.Millis) bool {
 	room := c.room(w, now)
 	for _, s := range room.slacks {
 		if c.pressure.untried(step.Image, s.image) {
--- a/internal/workflow/planner/waitingcount_test.go
+++ b/internal/workflow/planner/waitingcount_test.go
@@ -283,7 +283,7 @@
 			w.takeOver()
 			w.now += cottonlanding.Minute
 			require.Equal(t, one.waiting, w.cell.Waiting("Bulk"))
-			require.Empty(t, w.cell.Leavers(1, w.now))
+			require.Empty(t, w.cell.HandOverCandidates(1, w.now))
 		})
 	}
 }
@@ -302,7 +302,7 @@
 	require.Equal(t, 1, w.cell.Waiting("Bulk"))
 	w.takeOver()
 	w.now += cottonlanding.Minute
-	require.Empty(t, w.cell.Leavers(1, w.now))
+	require.Empty(t, w.cell.HandOverCandidates(1, w.now))
 	require.Equal(t, 1, w.cell.Waiting("Bulk"))
 	w.pollAll()
 	w.turn(100)
@@ -320,7 +320,7 @@
 // TestDelegatedWorkflowWaitsAtDelegator guards against a workflow that no cell counts, or two, while its tasks are delegated
 // and none has begun.
 func TestDelegatedWorkflowWaitsAtDelegator(t *testing.T) {
-	n := newNeighbours(t, 2, 2)
+	n := newMultiCell(t, 2, 2)
 	n.turn(100)
 	n.cells[0].submit("lfull", "Bulk", lastingCores(16)) // all of its cell
 	n.cells[0].turn(100)
--- a/internal/workflow/planner/worker.go
+++ b/internal/workflow/planner/worker.go
@@ -263,7 +263,7 @@
 			c.forgetWorker(w.info.ID)
 		}
 	}
-	c.settleSuccessors(now)
+	c.endReplacedWorkers(now)
 }
 
 func (c *Cell) forgetWorker(id cottonlanding.WorkerID) {
--- a/internal/workflow/planner/world_test.go
+++ b/internal/workflow/planner/world_test.go
@@ -164,7 +164,7 @@
 	w.cell.SetQueues(w.queues)
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 	require.NoError(w.t, w.cell.Load(w.scan(planner.SpecKey(partition, "")), w.scan(planner.StateKey(partition, "")), w.now))
-	require.NoError(w.t, w.cell.LoadGuests(w.scan(planner.GuestsKey(partition)), w.now))
+	require.NoError(w.t, w.cell.LoadDelegated(w.scan(planner.DelegatedRowsKey(partition)), w.now))
 	w.cell.SetTableClock(w.tableClock())
 	if row, found := w.rows[planner.LeaseBoundsKey(partition)]; found {
 		require.NoError(w.t, w.cell.LoadLeaseBounds(row, w.now))
