--- a/golden_test.go
+++ b/golden_test.go
@@ -75,6 +75,6 @@
 			cottonlanding.ErrNotFound, cottonlanding.ErrStaleEpoch, cottonlanding.ErrRefused, cottonlanding.ErrCannotRun,
 			cottonlanding.ErrBusy, cottonlanding.ErrLate, cottonlanding.ErrOtherLife, cottonlanding.ErrNotOwner, cottonlanding.ErrHistoryGone},
 	} {
-		t.Run(name, func(t *testing.T) { comparer.Lines(t, name, lines...) })
+		t.Run(name, func(t *testing.T) { comparer.RequireList(t, name, lines...) })
 	}
 }
--- a/internal/coordination/follower/golden_test.go
+++ b/internal/coordination/follower/golden_test.go
@@ -18,5 +18,5 @@
 		return data
 	}
 	comparer.JSON(t, encode, map[string]any{"Head": follower.Head{}})
-	comparer.Lines(t, "Keys", follower.HeadKey, follower.GenerationKey(7))
+	comparer.RequireList(t, "Keys", follower.HeadKey, follower.GenerationKey(7))
 }
--- a/internal/coordination/holder/golden_test.go
+++ b/internal/coordination/holder/golden_test.go
@@ -10,5 +10,5 @@
 // TestGoldenRows guards against members of two versions of which each takes the other's cells, as it doesn't read its rows.
 func TestGoldenRows(t *testing.T) {
 	comparer.JSON(t, holder.EncodeRow, map[string]any{"Owner": holder.Owner{}, "Beat": holder.Beat{}, "Request": holder.Request{}})
-	comparer.Lines(t, "Keys", holder.RowKeys("P", 7)...)
+	comparer.RequireList(t, "Keys", holder.RowKeys("P", 7)...)
 }
--- a/internal/coordination/observer/golden_test.go
+++ b/internal/coordination/observer/golden_test.go
@@ -18,5 +18,5 @@
 		return data
 	}
 	comparer.JSON(t, encode, map[string]any{"Ownership": observer.Ownership{}})
-	comparer.Lines(t, "Keys", observer.OwnerKey("a/1"))
+	comparer.RequireList(t, "Keys", observer.OwnerKey("a/1"))
 }
--- a/internal/coordination/registrar/golden_test.go
+++ b/internal/coordination/registrar/golden_test.go
@@ -18,5 +18,5 @@
 		return data
 	}
 	comparer.JSON(t, encode, map[string]any{"Session": registrar.Session{}})
-	comparer.Lines(t, "Keys", registrar.Prefix, registrar.SessionKey("s"))
+	comparer.RequireList(t, "Keys", registrar.Prefix, registrar.SessionKey("s"))
 }
--- a/internal/golden/comparer/comparer.go
+++ b/internal/golden/comparer/comparer.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Lines compares the lines, each of which is printed as by fmt.Sprint, with testdata/golden/NAME.txt.
-func Lines(t *testing.T, name string, lines ...any) {
+// RequireList compares the lines, each of which is printed as by fmt.Sprint, with testdata/golden/NAME.txt.
+func RequireList(t *testing.T, name string, lines ...any) {
 	t.Helper()
 	var out strings.Builder
 	for _, line := range lines {
--- a/internal/golden/transcriber/transcriber.go
+++ b/internal/golden/transcriber/transcriber.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// Lines returns a line for each text.
-func Lines(texts []string) string { return strings.Join(texts, "\n") + "\n" }
+// JoinLines returns a line for each text.
+func JoinLines(texts []string) string { return strings.Join(texts, "\n") + "\n" }
 
 // Gauges is a function for gauges and the list of what it was given.
 type Gauges []string
@@ -116,8 +116,8 @@
 // Set notes a gauge.
 func (g *Gauges) Set(name string, value float64) { *g = append(*g, fmt.Sprintf("%s %v", name, value)) }
 
-// Sorted returns the gauges by name, one a line.
-func (g *Gauges) Sorted() string { return Lines(slices.Sorted(slices.Values(*g))) }
+// Listing returns the gauges by name, one a line.
+func (g *Gauges) Listing() string { return JoinLines(slices.Sorted(slices.Values(*g))) }
 
 // Reply is how a Stand answers.
 type Reply struct {
--- a/internal/metrics/reporter/golden_test.go
+++ b/internal/metrics/reporter/golden_test.go
@@ -31,5 +31,5 @@
 			out = append(out, strings.TrimSpace(line))
 		}
 	}
-	transcriber.RequireFile(t, "metrics.txt", transcriber.Lines(out))
+	transcriber.RequireFile(t, "metrics.txt", transcriber.JoinLines(out))
 }
--- a/internal/operators/sharer/golden_test.go
+++ b/internal/operators/sharer/golden_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, err)
 	data, err := io.ReadAll(unpacker)
 	require.NoError(t, err)
-	comparer.Lines(t, "Copy", strconv.Quote(string(data)))
+	comparer.RequireList(t, "Copy", strconv.Quote(string(data)))
 
 	golden, err := os.ReadFile("testdata/golden/Copy.txt")
 	require.NoError(t, err)
--- a/internal/peer/exchanger/export_test.go
+++ b/internal/peer/exchanger/export_test.go
@@ -18,5 +18,5 @@
 	return (&Exchanger{deps: Dependencies{Messenger: m}}).forwardTo(ctx, address, call)
 }
 
-// CellSummary is cellSummary for golden tests.
-var CellSummary = cellSummary
+// SummaryOfCell is cellSummary for golden tests.
+var SummaryOfCell = cellSummary
--- a/internal/peer/exchanger/golden_test.go
+++ b/internal/peer/exchanger/golden_test.go
@@ -74,7 +74,7 @@
 		Answer:  cottonlanding.Answer{Status: 201, Header: cottonlanding.Header{"H1": {"v1", "v2"}}, Body: []byte("b1")},
 		Status:  201, Word: "Forwarded", Detail: "d1", RetryAfter: 12,
 	}, reply)
-	summary := exchanger.CellSummary(&wire.CellSummary{Cell: "c1", Epoch: 7, FreeMillicores: 8, FreeBytes: 9, FreeAccelerators: 10, Queued: 11})
+	summary := exchanger.SummaryOfCell(&wire.CellSummary{Cell: "c1", Epoch: 7, FreeMillicores: 8, FreeBytes: 9, FreeAccelerators: 10, Queued: 11})
 	require.Equal(t, scheduler.Summary{
 		Cell: "c1", Epoch: 7, Free: cottonlanding.Resources{CPU: 8, Memory: 9, Accelerators: 10}, Queued: 11,
 	}, summary)
--- a/internal/peer/wire/golden_test.go
+++ b/internal/peer/wire/golden_test.go
@@ -49,5 +49,5 @@
 			}
 		}
 	}
-	transcriber.RequireFile(t, "descriptors.txt", transcriber.Lines(lines))
+	transcriber.RequireFile(t, "descriptors.txt", transcriber.JoinLines(lines))
 }
--- a/internal/placement/scheduler/golden_test.go
+++ b/internal/placement/scheduler/golden_test.go
@@ -11,7 +11,7 @@
 // TestGoldenRows guards against jobs and tasks that an owner of another version doesn't find, or reads as something else.
 func TestGoldenRows(t *testing.T) {
 	comparer.JSON(t, scheduler.EncodeRow, map[string]any{"Job": cottonlanding.Job{}, "Task": cottonlanding.Task{}})
-	comparer.Lines(t, "Keys", scheduler.JobKey("j"), scheduler.JobListPrefix("a/1"), scheduler.TaskPrefix("a/1"),
+	comparer.RequireList(t, "Keys", scheduler.JobKey("j"), scheduler.JobListPrefix("a/1"), scheduler.TaskPrefix("a/1"),
 		scheduler.JobTaskPrefix("a/1", "j"), scheduler.TaskKey("a/1", cottonlanding.TaskID{Job: "j", Index: 3}))
-	comparer.Lines(t, "Verbs", scheduler.VerbAcknowledge, scheduler.VerbStop, scheduler.VerbCheckpoint, scheduler.VerbStart)
+	comparer.RequireList(t, "Verbs", scheduler.VerbAcknowledge, scheduler.VerbStop, scheduler.VerbCheckpoint, scheduler.VerbStart)
 }
--- a/internal/request/claimer/golden_test.go
+++ b/internal/request/claimer/golden_test.go
@@ -11,5 +11,5 @@
 func TestGoldenRows(t *testing.T) {
 	encode := func(value any) []byte { return claimer.EncodeRow(value.(claimer.Record)) }
 	comparer.JSON(t, encode, map[string]any{"Record": claimer.Record{}})
-	comparer.Lines(t, "Keys", claimer.Key("s", "a/b c"))
+	comparer.RequireList(t, "Keys", claimer.Key("s", "a/b c"))
 }
--- a/internal/request/seater/golden_test.go
+++ b/internal/request/seater/golden_test.go
@@ -18,5 +18,5 @@
 		return data
 	}
 	comparer.JSON(t, encode, map[string]any{"Seat": seater.Seat{}})
-	comparer.Lines(t, "Keys", seater.SeatKey(7))
+	comparer.RequireList(t, "Keys", seater.SeatKey(7))
 }
--- a/internal/workflow/driver/golden_test.go
+++ b/internal/workflow/driver/golden_test.go
@@ -17,7 +17,7 @@
 func TestGoldenFence(t *testing.T) {
 	encode := func(value any) []byte { return driver.EncodeFence(value.(driver.Fence)) }
 	comparer.JSON(t, encode, map[string]any{"Fence": driver.Fence{}})
-	comparer.Lines(t, "Keys", driver.FenceRow)
+	comparer.RequireList(t, "Keys", driver.FenceRow)
 }
 
 // TestGoldenLane guards against owners whose lanes stand where others don't look for them.
@@ -34,5 +34,5 @@
 			lanes = append(lanes, before)
 		}
 	}
-	comparer.Lines(t, "Lanes", lanes...)
+	comparer.RequireList(t, "Lanes", lanes...)
 }
--- a/internal/workflow/gateway/golden_gauges_test.go
+++ b/internal/workflow/gateway/golden_gauges_test.go
@@ -30,7 +30,7 @@
 	for at, one := range of {
 		of[at], _, _ = strings.Cut(one, " ")
 	}
-	transcriber.RequireFile(t, "gauges.txt", of.Sorted())
+	transcriber.RequireFile(t, "gauges.txt", of.Listing())
 	var other transcriber.Gauges
 	d.hosts[(owner+1)%3].SetGauges(other.Set)
 	require.Equal(t, transcriber.Gauges{"workflow_owner 0"}, other)
--- a/internal/workflow/gateway/golden_test.go
+++ b/internal/workflow/gateway/golden_test.go
@@ -18,9 +18,9 @@
 
 // TestGoldenNames guards against rows that hosts of another version look for elsewhere.
 func TestGoldenNames(t *testing.T) {
-	comparer.Lines(t, "Keys", gateway.LayoutKey, gateway.OperatorsKey, gateway.PartitionOf(7),
+	comparer.RequireList(t, "Keys", gateway.LayoutKey, gateway.OperatorsKey, gateway.PartitionOf(7),
 		gateway.OwnersPartition(0, 33), gateway.OwnersPartition(1, 33), gateway.OwnersPartition(1, 16))
-	comparer.Lines(t, "Obstacles", gateway.Obstacles...)
+	comparer.RequireList(t, "Obstacles", gateway.Obstacles...)
 }
 
 // TestGoldenRelayedList guards against a list of workers that a host of another version reads as something else.
@@ -34,7 +34,7 @@
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(gateway.AnswerToWire(answer))
 	require.NoError(t, err)
-	comparer.Lines(t, "ListAnswer", hex.EncodeToString(data))
+	comparer.RequireList(t, "ListAnswer", hex.EncodeToString(data))
 	golden, err := os.ReadFile("testdata/golden/ListAnswer.txt")
 	require.NoError(t, err)
 	kept, err := hex.DecodeString(strings.TrimSpace(string(golden)))
--- a/internal/workflow/partitioner/golden_test.go
+++ b/internal/workflow/partitioner/golden_test.go
@@ -25,5 +25,5 @@
 	workers := []cottonlanding.WorkerInfo{{DataCentre: "a", Rack: "r1"}, {DataCentre: "a"}, {DataCentre: "b", Rack: "r1"}}
 	require.Equal(t, want, partitioner.Divide(workers, 1))
 	require.Equal(t, string(golden), string(want.Encode())+"\n")
-	comparer.Lines(t, "Homes", want.Home("w"), want.Home("workflow-2"), want.Home("3"), want.Home("d4e5"))
+	comparer.RequireList(t, "Homes", want.Home("w"), want.Home("workflow-2"), want.Home("3"), want.Home("d4e5"))
 }
--- a/internal/workflow/planner/golden_test.go
+++ b/internal/workflow/planner/golden_test.go
@@ -42,6 +42,6 @@
 		"TaskStates": planner.TaskStates(cottonlanding.CellNumber(7)),
 		"Verbs":      {planner.VerbStart, planner.VerbStop, planner.VerbPace},
 	} {
-		t.Run(name, func(t *testing.T) { comparer.Lines(t, name, lines...) })
+		t.Run(name, func(t *testing.T) { comparer.RequireList(t, name, lines...) })
 	}
 }
