--- a/internal/workflow/driver/delegation.go
+++ b/internal/workflow/driver/delegation.go
@@ -105,8 +105,8 @@
 	g.driver.deps.Log.Info("guest cell answers", "Guest", g.cell)
 }
 
-// HoldGuests answers a cell about the tasks that this one is to run for it.
-func (d *Driver) HoldGuests(question planner.DelegationRequest) (planner.DelegationResponse, error) {
+// HandleDelegationRequest answers a cell about the tasks that this one is to run for it.
+func (d *Driver) HandleDelegationRequest(question planner.DelegationRequest) (planner.DelegationResponse, error) {
 	var answer planner.DelegationResponse
 	err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) {
 		answer = cell.HandleDelegationRequest(question, now)
@@ -117,16 +117,16 @@
 	return answer, err
 }
 
-// ForgottenGuests returns up to a number of guests about which nothing was asked for long, with the cells
+// UnconfirmedDelegated returns up to a number of guests about which nothing was asked for long, with the cells
 // that keep their workflows.
-func (d *Driver) ForgottenGuests(most int) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
+func (d *Driver) UnconfirmedDelegated(most int) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	return query(d, func(cell *planner.Cell, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 		return cell.UnconfirmedDelegated(most, now)
 	})
 }
 
-// SettleGuest takes in whether the workflow of a guest goes on.
-func (d *Driver) SettleGuest(id cottonlanding.WorkflowID, goesOn bool) {
+// ResolveDelegated takes in whether the workflow of a guest goes on.
+func (d *Driver) ResolveDelegated(id cottonlanding.WorkflowID, goesOn bool) {
 	if err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) { cell.ResolveDelegated(id, goesOn, now) }); err != nil {
 		return // the next owner asks again
 	}
--- a/internal/workflow/gateway/delegation.go
+++ b/internal/workflow/gateway/delegation.go
@@ -131,7 +131,7 @@
 		return planner.DelegationResponse{}, fmt.Errorf("cell %s isn't known here: %w", to, cottonlanding.ErrUnavailable)
 	}
 	if local := guest.local(); local != nil {
-		return local.HoldGuests(question)
+		return local.HandleDelegationRequest(question)
 	}
 	data, err := json.Marshal(question)
 	if err != nil {
@@ -170,7 +170,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := owner.HoldGuests(question)
+	answer, err := owner.HandleDelegationRequest(question)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/workflow/gateway/referrals.go
+++ b/internal/workflow/gateway/referrals.go
@@ -27,9 +27,9 @@
 				local.SettleReferral(id, state != "")
 			}
 		}
-		for id, cell := range local.ForgottenGuests(referralsAtOnce) {
+		for id, cell := range local.UnconfirmedDelegated(referralsAtOnce) {
 			if state, known := g.stateIn(ctx, cell, id); known {
-				local.SettleGuest(id, state != "" && !state.Final())
+				local.ResolveDelegated(id, state != "" && !state.Final())
 			}
 		}
 	}
--- a/internal/workflow/planner/delegation.go
+++ b/internal/workflow/planner/delegation.go
@@ -73,7 +73,7 @@
 
 // DelegationRequest is what a keeper asks a guest cell.
 type DelegationRequest struct {
-	Delegator cottonlanding.CellNumber
+	Delegator cottonlanding.CellNumber `json:"Keeper"`
 	// Last is the stamp of the last answer that this keeper's owner got.
 	Last      DelegationStamp `json:",omitzero"`
 	Workflows []DelegatedWorkflow
--- a/internal/workflow/planner/gate.go
+++ b/internal/workflow/planner/gate.go
@@ -76,9 +76,9 @@
 func (c *Cell) countRejections(t *task, now cottonlanding.Millis) [rejections]int {
 	var counts [rejections]int
 	for _, w := range c.sortedWorkers() {
-		room, measuredAt := w.room, w.roomMeasuredAt
+		room, roomMeasuredAt := w.room, w.roomMeasuredAt
 		counts[c.rejection(t, w, now)]++
-		w.room, w.roomMeasuredAt = room, measuredAt
+		w.room, w.roomMeasuredAt = room, roomMeasuredAt
 	}
 	return counts
 }
--- a/internal/workflow/planner/plan.go
+++ b/internal/workflow/planner/plan.go
@@ -291,8 +291,8 @@
 	return out
 }
 
-func (c *Cell) recordCommittedEnds(committedEnd map[*worker]uint64) {
-	for w, serial := range committedEnd {
+func (c *Cell) recordCommittedEnds(recordedEnds map[*worker]uint64) {
+	for w, serial := range recordedEnds {
 		w.recordedEnds = max(w.recordedEnds, serial)
 	}
 }
