--- a/internal/workflow/planner/blamefaults_test.go
+++ b/internal/workflow/planner/blamefaults_test.go
@@ -22,13 +22,13 @@
 	minEnds = 2
 )
 
-// faultHistory plays a history whose workers flap, crash in waves and are cut off beside changes of owner.
-type faultHistory struct {
+// massFaultHistory plays a history whose workers flap, crash in waves and are cut off beside changes of owner.
+type massFaultHistory struct {
 	*restartHistory
 	flapAt map[cottonlanding.WorkerID]cottonlanding.Millis
 }
 
-func newFaultHistory(t *testing.T, seed int64, culprits bool) *faultHistory {
+func newMassFaultHistory(t *testing.T, seed int64, culprits bool) *massFaultHistory {
 	r := &restartHistory{
 		history:      newHistory(t, seed, "fair", faultOdds),
 		restartAt:    make(map[cottonlanding.WorkerID]cottonlanding.Millis),
@@ -39,7 +39,7 @@
 		r.restartWorker(at)
 	}
 	r.takeOver()
-	out := &faultHistory{restartHistory: r, flapAt: make(map[cottonlanding.WorkerID]cottonlanding.Millis)}
+	out := &massFaultHistory{restartHistory: r, flapAt: make(map[cottonlanding.WorkerID]cottonlanding.Millis)}
 	for at, info := range r.workers {
 		if at%flappingDivisor == 0 {
 			out.flapAt[info.ID] = out.nextFlap()
@@ -53,12 +53,12 @@
 	return out
 }
 
-func (h *faultHistory) nextFlap() cottonlanding.Millis {
+func (h *massFaultHistory) nextFlap() cottonlanding.Millis {
 	return h.now + minFlapInterval + cottonlanding.Millis(h.random.Intn(int(minFlapInterval)))
 }
 
 // flap ends the lives whose time has come.
-func (h *faultHistory) flap() {
+func (h *massFaultHistory) flap() {
 	for _, info := range h.workers {
 		if at, flaps := h.flapAt[info.ID]; flaps && h.now >= at {
 			h.flapAt[info.ID] = h.nextFlap()
@@ -67,7 +67,7 @@
 	}
 }
 
-func (h *faultHistory) crash(id cottonlanding.WorkerID) {
+func (h *massFaultHistory) crash(id cottonlanding.WorkerID) {
 	if h.crashedAt[id] == 0 {
 		h.runner.Crash(id)
 		h.crashedAt[id] = h.now
@@ -75,7 +75,7 @@
 }
 
 // injectMassFault crashes or cuts off many workers at once, now and then.
-func (h *faultHistory) injectMassFault() {
+func (h *massFaultHistory) injectMassFault() {
 	if h.random.Intn(faultOdds) > 0 {
 		return
 	}
@@ -121,7 +121,7 @@
 	for at := range *blameHistories {
 		seed := *blameFirst + int64(at)
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
-			h := newFaultHistory(t, seed, false)
+			h := newMassFaultHistory(t, seed, false)
 			h.run()
 			require.Empty(t, h.runner.Violations())
 			require.Empty(t, h.wronglyGivenUp(), "innocent workflows are given up")
@@ -142,7 +142,7 @@
 	for at := range *blameHistories {
 		seed := *blameFirst + int64(at)
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
-			h := newFaultHistory(t, seed, true)
+			h := newMassFaultHistory(t, seed, true)
 			h.run()
 			require.Empty(t, h.runner.Violations())
 			h.requireFinal(t)
--- a/internal/workflow/planner/cell.go
+++ b/internal/workflow/planner/cell.go
@@ -94,8 +94,8 @@
 	reportable bool
 	reportedAt cottonlanding.Millis
 	// plans counts the plans made.
-	plans    int64
-	pressure *pressure
+	plans        int64
+	interference *interference
 	// hasImages says that a workflow here has named images, which disturb each other.
 	hasImages bool
 	// learntAt is when what was learnt was last written, learntVersion that row's version.
@@ -194,7 +194,7 @@
 		remote:             make(map[cottonlanding.WorkflowID]*job),
 		referrals:          make(map[cottonlanding.WorkflowID]*referral),
 		unplannedReferrals: make(map[cottonlanding.WorkflowID][]func(error)),
-		pressure:           newPressure(policy.Disturbance),
+		interference:       newPressure(policy.Disturbance),
 		openLivesByWorker:  make(map[cottonlanding.WorkerID]*openLives),
 		counts:             Counts{Ends: make(map[cottonlanding.EndKind]int64)},
 	}
--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -44,7 +44,7 @@
 func (c *Cell) Fingerprint(now cottonlanding.Millis) string {
 	var out strings.Builder
 	for _, w := range c.sortedWorkers() {
-		fmt.Fprintln(&out, w.info.ID, w.info.Born, w.born, w.listed, w.lifeUnconfirmed, w.orderUnanswered, w.pollFailed, w.polled, w.receivedEnds, w.recordedEnds, w.acknowledgedEnds,
+		fmt.Fprintln(&out, w.info.ID, w.info.Born, w.born, w.listed, w.lifeUnconfirmed, w.orderUnanswered, w.pollFailed, w.polled, w.receivedEnd, w.committedEnd, w.acknowledgedEnd,
 			w.reading > 0, w.reachable(now), w.leaseBound > now, w.nextPollAt > now, w.startsBlockedUntil > now, w.health.backoffUntil > now)
 		for _, r := range w.runs.all() {
 			fmt.Fprintln(&out, r.RunKey, r.phase, r.born, r.orderInFlight, r.startUnconfirmed, r.stopping, r.lastStopAckAt > 0, r.firstStopAckAt > 0, r.stopInFlight,
--- a/internal/workflow/planner/forecast.go
+++ b/internal/workflow/planner/forecast.go
@@ -14,8 +14,8 @@
 	objective, chainLeft cottonlanding.Millis
 }
 
-// ahead returns the outlook of a workflow.
-func (j *job) ahead() forecast {
+// latestForecast returns the outlook of a workflow.
+func (j *job) latestForecast() forecast {
 	if j.forecast == nil {
 		j.forecast = &forecast{}
 		j.forecast.work, j.forecast.left = j.work()
@@ -31,8 +31,8 @@
 // slack is how much longer a workflow may wait to be done in its time, negative for one that
 // can't be any more.
 func (j *job) slack(now cottonlanding.Millis) cottonlanding.Millis {
-	ahead := j.ahead()
-	return ahead.objective - (now - j.accepted) - ahead.chainLeft
+	latestForecast := j.latestForecast()
+	return latestForecast.objective - (now - j.accepted) - latestForecast.chainLeft
 }
 
 // late reports whether a workflow can't be done in its time any more. One that lasts counts as
--- a/internal/workflow/planner/interference.go
+++ b/internal/workflow/planner/interference.go
@@ -53,8 +53,8 @@
 	maxUtilization = 0.99
 )
 
-// pressure is what was learnt of how images disturb each other.
-type pressure struct {
+// interference is what was learnt of how images disturb each other.
+type interference struct {
 	policy cottonlanding.DisturbancePolicy
 	// weights holds the estimate for each serving image.
 	weights map[cottonlanding.Image]*weightEstimate
@@ -68,8 +68,8 @@
 	toleratedCountsAt cottonlanding.Millis
 }
 
-func newPressure(policy cottonlanding.DisturbancePolicy) *pressure {
-	return &pressure{
+func newPressure(policy cottonlanding.DisturbancePolicy) *interference {
+	return &interference{
 		policy:  policy,
 		weights: make(map[cottonlanding.Image]*weightEstimate),
 		base:    make(map[cottonlanding.Image]cottonlanding.Millis),
@@ -77,12 +77,12 @@
 }
 
 // weight returns how much a filling image is taken to disturb a serving one.
-func (p *pressure) weight(filling, serving cottonlanding.Image) float64 {
+func (p *interference) weight(filling, serving cottonlanding.Image) float64 {
 	return p.policy.Weight(p.pair(filling, serving))
 }
 
 // pair returns what is known of two images.
-func (p *pressure) pair(filling, serving cottonlanding.Image) cottonlanding.PairView {
+func (p *interference) pair(filling, serving cottonlanding.Image) cottonlanding.PairView {
 	own := unknownPair
 	if known := p.weights[serving]; known != nil {
 		own = known.pair(filling)
@@ -92,7 +92,7 @@
 
 // predict returns how much busier filling tasks make a serving image, and the variance of
 // that.
-func (p *pressure) predict(known *weightEstimate, serving cottonlanding.Image, used map[cottonlanding.Image]float64) (added, variance float64) {
+func (p *interference) predict(known *weightEstimate, serving cottonlanding.Image, used map[cottonlanding.Image]float64) (added, variance float64) {
 	added, variance = known.predict(used)
 	if len(p.remoteFindings[serving]) == 0 {
 		return added, variance
@@ -107,7 +107,7 @@
 }
 
 // utilization returns how utilization a tail shows its task to be, between 0 and mostBusy.
-func (p *pressure) utilization(r *run, tail cottonlanding.Millis) float64 {
+func (p *interference) utilization(r *run, tail cottonlanding.Millis) float64 {
 	base := p.baseOf(r)
 	if tail <= base {
 		return 0
@@ -115,7 +115,7 @@
 	return min(1-float64(base)/float64(tail), maxUtilization)
 }
 
-func (p *pressure) baseOf(r *run) cottonlanding.Millis {
+func (p *interference) baseOf(r *run) cottonlanding.Millis {
 	base, known := p.base[r.step.Image]
 	if !known {
 		base = cottonlanding.Millis(assumedBaseFraction * float64(r.step.LatencyTarget))
@@ -124,7 +124,7 @@
 }
 
 // utilizationGoal returns how busy a serving task may be.
-func (p *pressure) utilizationGoal(r *run) float64 {
+func (p *interference) utilizationGoal(r *run) float64 {
 	return p.utilization(r, cottonlanding.Millis(latencyGoalFraction*float64(r.step.LatencyTarget)))
 }
 
@@ -147,15 +147,15 @@
 			continue // no figure, a mixed one, or maybe the same as the last
 		}
 		s.sampledAt = now
-		trials := c.pressure.untriedAmong(used, s.step.Image)
-		c.pressure.learnTask(s, used, now)
+		trials := c.interference.untriedAmong(used, s.step.Image)
+		c.interference.learnTask(s, used, now)
 		c.logTrialResults(trials, s.step.Image)
 	}
 }
 
 // learnTask learns from one figure of a serving task what its step's own load is,
 // and what the filling tasks beside it add.
-func (p *pressure) learnTask(s *run, used map[cottonlanding.Image]float64, now cottonlanding.Millis) {
+func (p *interference) learnTask(s *run, used map[cottonlanding.Image]float64, now cottonlanding.Millis) {
 	p.recordBase(s.step.Image, s.tailLatency)
 	known := p.weights[s.step.Image]
 	if known == nil {
@@ -179,7 +179,7 @@
 // it: what is left by its own load, and less than they do now while it is over its
 // aim, whatever was learnt before. Light ones are let be unless it was over its
 // target for a while: what they would lose at each peak of the load is worth more.
-func (p *pressure) budget(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) budget {
+func (p *interference) budget(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) budget {
 	out := budget{heavy: p.utilizationGoal(s) - s.expected(now, paceLookahead), light: math.Inf(1)}
 	if over := p.utilization(s, s.tailLatency) - p.utilizationGoal(s); over > 0 {
 		out.heavy = min(out.heavy, p.added(s, filling, capacity)-overshootCorrection*over)
@@ -199,7 +199,7 @@
 }
 
 // added returns how much busier the filling tasks make a serving task now.
-func (p *pressure) added(s *run, filling []*run, capacity cottonlanding.Millicores) float64 {
+func (p *interference) added(s *run, filling []*run, capacity cottonlanding.Millicores) float64 {
 	sum := 0.0
 	for _, f := range filling {
 		sum += p.weight(f.step.Image, s.step.Image) * float64(f.used) / float64(capacity)
@@ -209,7 +209,7 @@
 
 // slack returns how much busier a serving task may become, given its own load and
 // the filling tasks' paces.
-func (p *pressure) slack(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) float64 {
+func (p *interference) slack(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) float64 {
 	slack := p.utilizationGoal(s) - s.expected(now, placementLookahead)
 	for _, f := range filling {
 		slack -= p.weight(f.step.Image, s.step.Image) * f.share(capacity) * float64(f.paceGoal) / fullPace
@@ -252,7 +252,7 @@
 	share := float64(step.Resources.CPU) / float64(w.info.Capacity.CPU)
 	fraction := 1.0
 	for _, s := range c.room(w, now).slacks {
-		if weight := c.pressure.weight(step.Image, s.image); weight > cottonlanding.LightWeight {
+		if weight := c.interference.weight(step.Image, s.image); weight > cottonlanding.LightWeight {
 			fraction = min(fraction, max(s.slack-placementMargin, 0)/(weight*share+minUsage))
 		}
 	}
@@ -264,7 +264,7 @@
 func (c *Cell) withinInterferenceBudget(w *worker, step cottonlanding.Step, now cottonlanding.Millis) bool {
 	slacks := c.room(w, now).slacks
 	for _, s := range slacks {
-		if c.pressure.untried(step.Image, s.image) || c.pressure.weight(step.Image, s.image) > cottonlanding.LightWeight {
+		if c.interference.untried(step.Image, s.image) || c.interference.weight(step.Image, s.image) > cottonlanding.LightWeight {
 			return false
 		}
 	}
--- a/internal/workflow/planner/learnt.go
+++ b/internal/workflow/planner/learnt.go
@@ -48,7 +48,7 @@
 }
 
 // row returns what was learnt, in an order that repeats.
-func (p *pressure) row() learntRow {
+func (p *interference) row() learntRow {
 	var out learntRow
 	for image, known := range p.weights {
 		serving := servingRow{Image: image, Base: p.base[image]}
@@ -66,7 +66,7 @@
 func rounded(value float64) float64 { return math.Round(value*100) / 100 }
 
 // restore takes in what a predecessor has learnt.
-func (p *pressure) restore(row learntRow) {
+func (p *interference) restore(row learntRow) {
 	for _, serving := range row.Serving {
 		known := newWeightEstimate()
 		for _, pair := range serving.Pairs {
@@ -89,13 +89,13 @@
 	if err := json.Unmarshal(row.Value, &learnt); err != nil {
 		return fmt.Errorf("row %s: %w", row.Key, err)
 	}
-	c.pressure.restore(learnt)
+	c.interference.restore(learnt)
 	return nil
 }
 
 // learntDue reports whether what was learnt is to be written down again.
 func (c *Cell) learntDue(now cottonlanding.Millis) bool {
-	return now-c.learntAt >= saveLearntInterval && len(c.pressure.weights) > 0
+	return now-c.learntAt >= saveLearntInterval && len(c.interference.weights) > 0
 }
 
 // planLearnt adds what was learnt to a plan, from time to time.
@@ -104,7 +104,7 @@
 		return
 	}
 	c.learntAt = now
-	value := encode(c.pressure.row())
+	value := encode(c.interference.row())
 	if len(value) > maxLearntBytes {
 		c.log.Warn("too much was learnt of images to write it down", "Bytes", len(value), "Most", maxLearntBytes)
 		return
--- a/internal/workflow/planner/life.go
+++ b/internal/workflow/planner/life.go
@@ -112,7 +112,7 @@
 	// them to the longest.
 	w.leaseBound = max(previous.leaseBound, now+withDriftMargin(c.timing.MaxLease))
 	c.log.Warn("another life of a worker", "Worker", w.info.ID, "Before", previous.born, "Born", born, "Listed", w.info.Born,
-		"LastAnswer", now-previous.lastAnswerAt, "SilentFor", now-previous.lostContactAt(now), "Noted", previous.receivedEnds, "Runs", previous.runs.size())
+		"LastAnswer", now-previous.lastAnswerAt, "SilentFor", now-previous.lostContactAt(now), "Noted", previous.receivedEnd, "Runs", previous.runs.size())
 	for _, r := range previous.runs.snapshot() {
 		previous.removeRun(r.RunKey)
 		r.worker = w
--- a/internal/workflow/planner/logbatch.go
+++ b/internal/workflow/planner/logbatch.go
@@ -65,7 +65,7 @@
 // logEnded logs the runs of a worker that ended by themselves, each as task#run.
 func (c *Cell) logEnded(w *worker) {
 	if len(c.logBatch.ended) > 0 {
-		c.logs.tasks.Info("runs ended", "Worker", w.info.ID, "Ends", c.logBatch.ended, "Serial", w.receivedEnds)
+		c.logs.tasks.Info("runs ended", "Worker", w.info.ID, "Ends", c.logBatch.ended, "Serial", w.receivedEnd)
 	}
 	c.logBatch.ended = nil
 }
@@ -93,12 +93,12 @@
 func (c *Cell) logSkippedEnds(w *worker, ends []cottonlanding.RunEnd) {
 	var skipped []string
 	for _, end := range ends {
-		if end.Serial <= w.recordedEnds {
+		if end.Serial <= w.committedEnd {
 			skipped = append(skipped, fmt.Sprintf("%d %s#%d %s", end.Serial, end.Task, end.Number, end.Kind))
 		}
 	}
 	if len(skipped) > 0 {
-		c.log.Warn("ends passed over", "Worker", w.info.ID, "Born", w.born, "Ends", skipped, "Noted", w.receivedEnds, "Seen", w.recordedEnds)
+		c.log.Warn("ends passed over", "Worker", w.info.ID, "Born", w.born, "Ends", skipped, "Noted", w.receivedEnd, "Seen", w.committedEnd)
 	}
 }
 
--- a/internal/workflow/planner/mix.go
+++ b/internal/workflow/planner/mix.go
@@ -18,7 +18,7 @@
 	}
 	views := make([]cottonlanding.MixView, len(candidates))
 	for i, w := range candidates {
-		views[i] = c.pressure.mixView(c.room(w, now).slacks, t.stage.Image, now)
+		views[i] = c.interference.mixView(c.room(w, now).slacks, t.stage.Image, now)
 	}
 	var out []*worker
 	for _, at := range c.policy.Mixing.Narrow(views) {
@@ -28,7 +28,7 @@
 }
 
 // mixView returns what becomes of a worker on which some images serve if another joins them.
-func (p *pressure) mixView(slacks []imageSlack, joining cottonlanding.Image, now cottonlanding.Millis) cottonlanding.MixView {
+func (p *interference) mixView(slacks []imageSlack, joining cottonlanding.Image, now cottonlanding.Millis) cottonlanding.MixView {
 	images := make([]cottonlanding.Image, 0, len(slacks)+1)
 	for _, s := range slacks {
 		images = append(images, s.image)
@@ -42,7 +42,7 @@
 }
 
 // countTolerated counts the filling images that hardly disturb any of the serving ones.
-func (p *pressure) countTolerated(serving []cottonlanding.Image, now cottonlanding.Millis) int {
+func (p *interference) countTolerated(serving []cottonlanding.Image, now cottonlanding.Millis) int {
 	if p.toleratedCounts == nil || now-p.toleratedCountsAt > maxToleratedCountsAge {
 		p.toleratedCounts, p.toleratedCountsAt = make(map[string]int), now
 	}
@@ -71,7 +71,7 @@
 }
 
 // fillingImages returns the filling images that were seen beside any serving one.
-func (p *pressure) fillingImages() map[cottonlanding.Image]bool {
+func (p *interference) fillingImages() map[cottonlanding.Image]bool {
 	out := make(map[cottonlanding.Image]bool)
 	for _, known := range p.weights {
 		for image := range known.index {
--- a/internal/workflow/planner/pace.go
+++ b/internal/workflow/planner/pace.go
@@ -44,8 +44,8 @@
 	budgets := make([]budget, len(serving))
 	w.overTarget = c.includesTrial(serving, filling)
 	for i, s := range serving {
-		budgets[i] = c.pressure.budget(s, filling, w.info.Capacity.CPU, now)
-		w.overTarget = w.overTarget || c.pressure.utilization(s, s.tailLatency) > c.pressure.utilizationGoal(s)
+		budgets[i] = c.interference.budget(s, filling, w.info.Capacity.CPU, now)
+		w.overTarget = w.overTarget || c.interference.utilization(s, s.tailLatency) > c.interference.utilizationGoal(s)
 	}
 	slices.SortStableFunc(filling, func(a, b *run) int {
 		return cmp.Compare(c.maxWeight(a, serving), c.maxWeight(b, serving))
@@ -55,11 +55,11 @@
 		share := f.share(w.info.Capacity.CPU)
 		fraction := 1.0
 		for i, s := range serving {
-			fraction = min(fraction, budgets[i].fraction(c.pressure.weight(f.step.Image, s.step.Image), share))
+			fraction = min(fraction, budgets[i].fraction(c.interference.weight(f.step.Image, s.step.Image), share))
 		}
 		c.setPace(f, int(fraction*fullPace), now)
 		for i, s := range serving {
-			budgets[i].consume(c.pressure.weight(f.step.Image, s.step.Image), share*float64(f.paceGoal)/fullPace)
+			budgets[i].consume(c.interference.weight(f.step.Image, s.step.Image), share*float64(f.paceGoal)/fullPace)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 func (c *Cell) maxWeight(f *run, serving []*run) float64 {
 	worst := 0.0
 	for _, s := range serving {
-		worst = max(worst, c.pressure.weight(f.step.Image, s.step.Image))
+		worst = max(worst, c.interference.weight(f.step.Image, s.step.Image))
 	}
 	return worst
 }
--- a/internal/workflow/planner/plan.go
+++ b/internal/workflow/planner/plan.go
@@ -284,16 +284,16 @@
 func (c *Cell) uncommittedEnds() map[*worker]uint64 {
 	out := make(map[*worker]uint64)
 	for _, w := range c.sortedWorkers() {
-		if w.receivedEnds > w.recordedEnds {
-			out[w] = w.receivedEnds
+		if w.receivedEnd > w.committedEnd {
+			out[w] = w.receivedEnd
 		}
 	}
 	return out
 }
 
-func (c *Cell) recordCommittedEnds(recordedEnds map[*worker]uint64) {
-	for w, serial := range recordedEnds {
-		w.recordedEnds = max(w.recordedEnds, serial)
+func (c *Cell) recordCommittedEnds(committedEnd map[*worker]uint64) {
+	for w, serial := range committedEnd {
+		w.committedEnd = max(w.committedEnd, serial)
 	}
 }
 
@@ -334,5 +334,5 @@
 // EndsCommitted reports whether all ends that the worker listed have been committed.
 func (c *Cell) EndsCommitted(id cottonlanding.WorkerID) bool {
 	w := c.workers[id]
-	return w == nil || w.receivedEnds == w.recordedEnds
+	return w == nil || w.receivedEnd == w.committedEnd
 }
--- a/internal/workflow/planner/poll.go
+++ b/internal/workflow/planner/poll.go
@@ -60,7 +60,7 @@
 		next.After = w.nextPollAt - now
 		return next, true
 	}
-	unnoted := w.receivedEnds > w.recordedEnds
+	unnoted := w.receivedEnd > w.committedEnd
 	if unnoted && now-w.uncommittedSince < uncommittedEndsTimeout {
 		next.After = w.uncommittedSince + uncommittedEndsTimeout - now
 		return next, true
@@ -72,8 +72,8 @@
 		next.Look.Wait = unconfirmedPollWait
 		return next, true
 	}
-	if w.recordedEnds > w.acknowledgedEnds && !w.orderUnanswered {
-		next.Look.Seen = w.recordedEnds
+	if w.committedEnd > w.acknowledgedEnd && !w.orderUnanswered {
+		next.Look.Seen = w.committedEnd
 	}
 	if w.runs.size() > 0 {
 		next.Look.LeaseUntil = c.leaseUntil(w, now)
@@ -93,7 +93,7 @@
 // PollSent takes in that a look at the worker goes out: if its ends aren't committed by
 // then, the next one follows after another pause.
 func (c *Cell) PollSent(id cottonlanding.WorkerID, now cottonlanding.Millis) {
-	if w := c.workers[id]; w != nil && w.receivedEnds > w.recordedEnds {
+	if w := c.workers[id]; w != nil && w.receivedEnd > w.committedEnd {
 		w.uncommittedSince = now
 	}
 }
@@ -111,7 +111,7 @@
 		c.recordContact(w)
 	}
 	if w == polled {
-		w.acknowledgedEnds = max(w.acknowledgedEnds, look.Look.Seen)
+		w.acknowledgedEnd = max(w.acknowledgedEnd, look.Look.Seen)
 	}
 	c.resolveOnAnswer(w, now)
 	w.answeredUnlisted = !w.listed
--- a/internal/workflow/planner/rank.go
+++ b/internal/workflow/planner/rank.go
@@ -52,13 +52,13 @@
 }
 
 func (c *Cell) rankView(j *job, now cottonlanding.Millis) cottonlanding.RankView {
-	ahead := j.ahead()
+	latestForecast := j.latestForecast()
 	view := cottonlanding.RankView{
 		Age:       now - j.accepted,
-		Objective: ahead.objective,
-		ChainLeft: ahead.chainLeft,
-		Work:      ahead.work,
-		Left:      ahead.left,
+		Objective: latestForecast.objective,
+		ChainLeft: latestForecast.chainLeft,
+		Work:      latestForecast.work,
+		Left:      latestForecast.left,
 		MeanWork:  c.meanWork[j.Queue],
 	}
 	if j.queue.Stretch > 0 {
@@ -69,7 +69,7 @@
 
 // recordWork takes a workflow into the mean work of its queue's.
 func (c *Cell) recordWork(j *job) {
-	all := j.ahead().work
+	all := j.latestForecast().work
 	mean, known := c.meanWork[j.Queue]
 	if !known {
 		mean = all
--- a/internal/workflow/planner/room.go
+++ b/internal/workflow/planner/room.go
@@ -63,7 +63,7 @@
 	serving, filling := w.servingAndFilling()
 	w.room.hasTrial, w.room.calm = c.includesTrial(serving, filling), c.calm(serving)
 	for _, s := range serving {
-		w.room.recordSlack(s.step.Image, c.pressure.slack(s, filling, w.info.Capacity.CPU, now))
+		w.room.recordSlack(s.step.Image, c.interference.slack(s, filling, w.info.Capacity.CPU, now))
 	}
 	return &w.room
 }
--- a/internal/workflow/planner/run.go
+++ b/internal/workflow/planner/run.go
@@ -22,13 +22,13 @@
 
 // recordEnd takes in the end of a run.
 func (c *Cell) recordEnd(w *worker, end cottonlanding.RunEnd, now cottonlanding.Millis) {
-	if end.Serial <= w.receivedEnds {
+	if end.Serial <= w.receivedEnd {
 		return
 	}
-	if w.receivedEnds == w.recordedEnds {
+	if w.receivedEnd == w.committedEnd {
 		w.uncommittedSince = now
 	}
-	w.receivedEnds = end.Serial
+	w.receivedEnd = end.Serial
 	c.recordEndListed(end)
 	r := w.runs.get(end.RunKey)
 	if r == nil {
--- a/internal/workflow/planner/sharedlearnt.go
+++ b/internal/workflow/planner/sharedlearnt.go
@@ -69,10 +69,10 @@
 		}
 		remoteFindings.add(learnt)
 		for _, serving := range learnt.Serving {
-			c.pressure.recordBase(serving.Image, serving.Base)
+			c.interference.recordBase(serving.Image, serving.Base)
 		}
 	}
-	c.pressure.remoteFindings = remoteFindings
+	c.interference.remoteFindings = remoteFindings
 	return nil
 }
 
@@ -80,7 +80,7 @@
 func (c *Cell) HasImages() bool { return c.hasImages }
 
 // recordBase keeps the shortest tail seen of an image.
-func (p *pressure) recordBase(image cottonlanding.Image, tail cottonlanding.Millis) {
+func (p *interference) recordBase(image cottonlanding.Image, tail cottonlanding.Millis) {
 	if base, known := p.base[image]; tail > 0 && (!known || tail < base) {
 		p.base[image] = tail
 	}
--- a/internal/workflow/planner/trial.go
+++ b/internal/workflow/planner/trial.go
@@ -12,12 +12,12 @@
 const trialHeadroom = 0.1
 
 // untried reports whether the pair has to be tried.
-func (p *pressure) untried(filling, serving cottonlanding.Image) bool {
+func (p *interference) untried(filling, serving cottonlanding.Image) bool {
 	return p.policy.Untried(p.pair(filling, serving))
 }
 
 // untriedAmong returns the images in use that have to be tried beside a serving one.
-func (p *pressure) untriedAmong(used map[cottonlanding.Image]float64, serving cottonlanding.Image) []cottonlanding.Image {
+func (p *interference) untriedAmong(used map[cottonlanding.Image]float64, serving cottonlanding.Image) []cottonlanding.Image {
 	var out []cottonlanding.Image
 	for filling := range used {
 		if p.untried(filling, serving) {
@@ -30,10 +30,10 @@
 // logTrialResults logs which trials a figure has ended, and what they have shown.
 func (c *Cell) logTrialResults(trials []cottonlanding.Image, serving cottonlanding.Image) {
 	for _, filling := range trials {
-		if c.pressure.untried(filling, serving) {
+		if c.interference.untried(filling, serving) {
 			continue
 		}
-		pair := c.pressure.pair(filling, serving)
+		pair := c.interference.pair(filling, serving)
 		c.log.Info("images tried", "Filling", filling, "Serving", serving, "Weight", rounded(pair.Weight), "Doubt", rounded(pair.Doubt))
 	}
 }
@@ -45,7 +45,7 @@
 			continue // it disturbs nobody
 		}
 		for _, s := range serving {
-			if c.pressure.untried(f.step.Image, s.step.Image) {
+			if c.interference.untried(f.step.Image, s.step.Image) {
 				return true
 			}
 		}
@@ -56,7 +56,7 @@
 // calm reports whether all serving tasks are well below their aims by their last figures.
 func (c *Cell) calm(serving []*run) bool {
 	for _, s := range serving {
-		if s.tailLatency > 0 && c.pressure.utilization(s, s.tailLatency) > c.pressure.utilizationGoal(s)-trialHeadroom {
+		if s.tailLatency > 0 && c.interference.utilization(s, s.tailLatency) > c.interference.utilizationGoal(s)-trialHeadroom {
 			return false
 		}
 	}
@@ -68,7 +68,7 @@
 func (c *Cell) mayRunTrial(w *worker, step cottonlanding.Step, now cottonlanding.Millis) bool {
 	room := c.room(w, now)
 	for _, s := range room.slacks {
-		if c.pressure.untried(step.Image, s.image) {
+		if c.interference.untried(step.Image, s.image) {
 			return room.calm && !room.hasTrial
 		}
 	}
--- a/internal/workflow/planner/worker.go
+++ b/internal/workflow/planner/worker.go
@@ -181,11 +181,11 @@
 	// dataCentreSilent says that its data centre is silent.
 	dataCentreSilent bool
 
-	// receivedEnds is the last end taken in, seen the last whose consequences are committed, and
+	// receivedEnd is the last end taken in, seen the last whose consequences are committed, and
 	// forgotten the last of those that the worker surely doesn't list any more.
-	receivedEnds     uint64
-	recordedEnds     uint64
-	acknowledgedEnds uint64
+	receivedEnd     uint64
+	committedEnd    uint64
+	acknowledgedEnd uint64
 	// uncommittedSince is when noted moved ahead of seen.
 	uncommittedSince cottonlanding.Millis
 
