--- a/internal/workflow/planner/delegated.go
+++ b/internal/workflow/planner/delegated.go
@@ -7,28 +7,28 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A guest is a workflow of which this cell runs single tasks for the cell that keeps it
-// (delegation.go). Its rows are like those of the workflows that the cell keeps, under a prefix of their
-// own: they name the keeper, and tasks that this cell doesn't hold are marked as run elsewhere.
+// A delegated workflow is one of which this cell runs single tasks for the cell that owns it, the delegator
+// (delegation.go). Its rows have the format of the cell's own workflows under a prefix of their own: they name the
+// delegator, and mark the tasks that this cell doesn't hold.
 
 const (
-	// taskNotHeld is the state of a guest's task that this cell doesn't hold. Its number is that with
-	// which the cell has returned it, zero if it never held it.
+	// taskNotHeld is the state of a task of a delegated workflow that this cell doesn't hold. Its number is that with
+	// which the cell has returned it, zero if the cell never held it.
 	taskNotHeld taskState = "E"
-	// confirmationTTL is how long after the keeper said that a workflow goes on its tasks may be started here:
-	// well below the time within which nothing of a cancelled workflow may start any more.
+	// confirmationTTL is how long tasks of a delegated workflow may be started after the delegator has confirmed that
+	// it is open. It is well below the time after which nothing of a cancelled workflow may start any more.
 	confirmationTTL = 1500 * cottonlanding.Millis(1)
-	// returnAfter is how long a guest's task waits for room here before it goes back to its keeper.
+	// returnAfter is how long a delegated task waits for room before it is returned to its delegator.
 	returnAfter = 800 * cottonlanding.Millis(1)
-	// confirmationCheckAfter is how long a keeper asks nothing about a guest before it is asked for it: its
-	// workflow may have ended while nothing of it was held here.
+	// confirmationCheckAfter is how long a delegator may send nothing about a delegated workflow before this cell asks
+	// whether it is still open: it may have ended while this cell held no task of it.
 	confirmationCheckAfter = 30 * cottonlanding.Second
 )
 
-// delegatedRowsPrefix begins the names of guests' rows.
+// delegatedRowsPrefix begins the names of the rows of delegated workflows.
 const delegatedRowsPrefix = "Guests/"
 
-// DelegatedRowsKey returns the prefix of the keys of all guests' rows.
+// DelegatedRowsKey returns the prefix of the keys of all rows of delegated workflows.
 func DelegatedRowsKey(p cottonlanding.Partition) cottonlanding.Key { return p.Key(delegatedRowsPrefix) }
 
 // rowKeys returns the keys of the rows of a workflow's specification and state.
@@ -39,7 +39,7 @@
 	return SpecKey(c.setup.Partition, j.ID), StateKey(c.setup.Partition, j.ID)
 }
 
-// LoadDelegated is Load for the rows of guests, of both kinds.
+// LoadDelegated is Load for delegated workflows, with specification and state rows in one list.
 func (c *Cell) LoadDelegated(rows []cottonlanding.Row, now cottonlanding.Millis) error {
 	specsAt := c.setup.Partition.Key(delegatedRowsPrefix + specPrefix)
 	var specs, states []cottonlanding.Row
@@ -53,11 +53,11 @@
 	return c.Load(specs, states, now)
 }
 
-// isDelegatedHere reports whether another cell keeps the workflow.
+// isDelegatedHere reports whether the workflow belongs to another cell that has delegated tasks to this one.
 func (j *job) isDelegatedHere() bool { return j.delegatedBy != nil }
 
-// mayStart reports whether tasks of the workflow may be started: always, but those of a guest only
-// while its keeper has said so lately.
+// mayStart reports whether tasks of the workflow may be started. Those of a delegated workflow may only within
+// confirmationTTL of the last confirmation.
 func (j *job) mayStart(now cottonlanding.Millis) bool {
 	return !j.isDelegatedHere() || j.confirmedAt > 0 && now-j.confirmedAt < confirmationTTL
 }
@@ -68,7 +68,7 @@
 	return found || t.state == taskNotHeld
 }
 
-// endedMessage returns the log line of the workflow's end.
+// endedMessage returns the log message for the end of the workflow.
 func (j *job) endedMessage() string {
 	if j.isDelegatedHere() {
 		return "guest ended"
@@ -76,7 +76,7 @@
 	return "workflow ended"
 }
 
-// HandleDelegationRequest takes in what a keeper asks, and returns what is known here of each workflow.
+// HandleDelegationRequest applies a request and returns what this cell knows of each workflow in it.
 func (c *Cell) HandleDelegationRequest(request DelegationRequest, now cottonlanding.Millis) DelegationResponse {
 	response := DelegationResponse{Stamp: DelegationStamp{Epoch: c.setup.Epoch, At: now}}
 	for _, asked := range request.Workflows {
@@ -96,8 +96,8 @@
 	return response
 }
 
-// holdDelegated takes the tasks that are asked about and aren't held yet. It returns nil for a workflow that
-// can't be a guest here.
+// holdDelegated accepts the requested tasks that this cell doesn't hold yet. It returns nil for a workflow that it
+// can't accept.
 func (c *Cell) holdDelegated(delegator cottonlanding.CellNumber, asked DelegatedWorkflow, now cottonlanding.Millis) *job {
 	j := c.jobs[asked.Workflow.ID]
 	if j == nil {
@@ -118,8 +118,8 @@
 	return j
 }
 
-// addDelegated begins to hold a workflow for its keeper, without any of its tasks. It returns nil for one that
-// can't be kept in a row.
+// addDelegated adds a workflow for its delegator, without any of its tasks. It returns nil if its specification
+// doesn't fit into a row.
 func (c *Cell) addDelegated(delegator cottonlanding.CellNumber, asked DelegatedWorkflow, now cottonlanding.Millis) *job {
 	queue, known := c.queues.Queues[asked.Workflow.Queue]
 	if !known {
@@ -138,7 +138,7 @@
 	return j
 }
 
-// acceptDelegatedTask begins to hold a task for its keeper.
+// acceptDelegatedTask accepts a task from its delegator.
 func (c *Cell) acceptDelegatedTask(t *task, requested DelegatedTask, now cottonlanding.Millis) {
 	t.setRemote(taskWaiting)
 	t.number, t.crashes, t.waitingSince, t.lastRunningAt = requested.Number, requested.Crashes, now, 0
@@ -150,8 +150,8 @@
 	c.log.Info("guest task accepted", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.delegatedBy)
 }
 
-// reportDelegated returns what is known of the tasks of a guest. That a task is returned, or that the workflow is
-// given up, is told once it is committed.
+// reportDelegated returns what is known of the requested tasks of a delegated workflow. The return of a task and the
+// failure of the workflow are reported only once they are committed.
 func (c *Cell) reportDelegated(j *job, asked []DelegatedTask, now cottonlanding.Millis) DelegatedWorkflowReport {
 	report := DelegatedWorkflowReport{ID: j.ID}
 	if j.committedState == cottonlanding.WorkflowFailed {
@@ -175,12 +175,12 @@
 	return report
 }
 
-// uncommitted reports whether the job has changes that aren't in the table for sure.
+// uncommitted reports whether the job has changes that may be missing from the table.
 func (c *Cell) uncommitted(j *job) bool {
 	return !j.persisted || c.dirty[j.ID] != nil || c.inFlight != nil && c.inFlight.includes(j.ID)
 }
 
-// endDelegated stops what is held of a workflow that is over.
+// endDelegated ends this cell's part of a workflow that is over.
 func (c *Cell) endDelegated(id cottonlanding.WorkflowID, now cottonlanding.Millis) DelegatedWorkflowReport {
 	j := c.jobs[id]
 	if j == nil || !j.isDelegatedHere() {
@@ -192,11 +192,11 @@
 	return DelegatedWorkflowReport{ID: id, Ended: j.committedState.Final()}
 }
 
-// returnDelegatedTasks gives tasks back for which there is no room here either.
+// returnDelegatedTasks returns the tasks that have waited for room for too long.
 func (c *Cell) returnDelegatedTasks(now cottonlanding.Millis) {
 	for _, j := range c.openJobs {
 		if !j.isDelegatedHere() || !j.mayStart(now) {
-			continue // its keeper may have nobody who could take a task back
+			continue // without an active owner the delegator can't take the task back
 		}
 		j.eachTask(func(t *task) {
 			if t.state == taskWaiting && now-t.waitingSince >= returnAfter {
@@ -206,7 +206,7 @@
 	}
 }
 
-// returnDelegatedTask gives a task back. Its number rises by one, so that no older question has it taken again.
+// returnDelegatedTask returns a task. Its number rises by one, so that no earlier request can have it accepted again.
 func (c *Cell) returnDelegatedTask(t *task, now cottonlanding.Millis) {
 	t.setRemote(taskNotHeld)
 	t.number++
@@ -215,7 +215,7 @@
 	c.log.Info("guest task returned", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.delegatedBy, "Waited", now-t.waitingSince)
 }
 
-// markDelegatedReady marks the steps of which this cell holds tasks: their keeper has found them ready.
+// markDelegatedReady marks the steps of which this cell holds tasks: their delegator has found them ready.
 func (r *round) markDelegatedReady() {
 	for _, s := range r.steps {
 		held := slices.ContainsFunc(s.tasks, func(t *task) bool { return t.state != taskNotHeld })
@@ -223,8 +223,8 @@
 	}
 }
 
-// UnconfirmedDelegated returns up to a number of guests about which their keepers have long asked nothing, with
-// these keepers.
+// UnconfirmedDelegated returns up to most delegated workflows about which their delegators have sent nothing for
+// confirmationCheckAfter, with these delegators.
 func (c *Cell) UnconfirmedDelegated(most int, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	out := make(map[cottonlanding.WorkflowID]cottonlanding.CellNumber)
 	for _, j := range c.openJobs {
@@ -235,14 +235,14 @@
 	return out
 }
 
-// ResolveDelegated takes in whether the workflow of a guest goes on, by its keeper.
+// ResolveDelegated records whether a delegated workflow is still open according to its delegator.
 func (c *Cell) ResolveDelegated(id cottonlanding.WorkflowID, goesOn bool, now cottonlanding.Millis) {
 	j := c.jobs[id]
 	if j == nil || !j.isDelegatedHere() || j.state.Final() {
 		return
 	}
 	if goesOn {
-		j.accepted = now // asked again after as long
+		j.accepted = now // checked again after confirmationCheckAfter
 		return
 	}
 	c.end(j, cottonlanding.WorkflowCancelled, "its workflow has ended", now)
--- a/internal/workflow/planner/delegation.go
+++ b/internal/workflow/planner/delegation.go
@@ -9,87 +9,86 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A lasting task that waits in a full cell is delegated: the cell that keeps its workflow, the
-// keeper, writes down which cell runs the task, and starts nothing of it from then on. The other
-// cell holds it as a guest (guest.go) and runs it under the task's own name, with run numbers above
-// all that the keeper has used.
+// A lasting task that waits in a full cell is delegated: the cell that owns its workflow, the delegator, records
+// which cell runs the task and starts nothing of it from then on. The delegate cell holds the workflow as a
+// delegated one (delegated.go) and runs the task under its own name, with run numbers above all that the delegator
+// has used.
 //
-// The two cells are in different partitions, which no transaction spans, so that a task passes over
-// in steps that each write one row. At most one cell may start it at any instant:
+// The two cells are in different partitions, which no transaction spans, so a task is transferred in steps that
+// each write one row. At most one cell may start it at any instant:
 //
-//   - The keeper's row names the guest cell. Only a return that the guest cell has committed
-//     changes that.
-//   - The guest cell takes a task under the run number that the keeper has written, and none below
-//     the number with which it has returned the task before. A late or repeated question of
-//     the keeper therefore changes nothing.
-//   - The guest cell starts a task only while the keeper has confirmed within confirmedFor that the
-//     workflow goes on. A run that goes on needs no confirmation.
+//   - The delegator's row names the delegate cell. Only a return that the delegate cell has committed changes that.
+//   - The delegate cell accepts a task under the run number that the delegator has written, and under none below
+//     the number with which it has returned the task before. A late or repeated request of the delegator
+//     therefore has no effect.
+//   - The delegate cell starts a task only while the delegator has confirmed within confirmationTTL that the
+//     workflow is still open. A run that has started needs no confirmation.
 //
-// The keeper asks each guest cell again and again with all that it has delegated there, and the
-// answer says all that the guest cell knows of it. So lost questions, lost answers and changes of
-// owner on both sides need no steps of their own.
+// Each request of the delegator lists everything that it has delegated to the cell, and each response everything
+// that the delegate cell knows of it. Requests are repeated, so lost requests, lost responses and changes of owner
+// on both sides need no handling of their own.
 
 const (
-	// delegateAfter is how long a task waits before it is delegated: long enough for runs that end to make
-	// room, and well below the time within which an interrupted task must run again.
+	// delegateAfter is how long a task waits before it is delegated: long enough for ending runs to free room, and
+	// well below the time within which an interrupted task must run again.
 	delegateAfter = handOverAfter
-	// returnedCellBackoff is how long a cell is passed over for a task that it has returned.
+	// returnedCellBackoff is how long a cell is skipped for a task that it has returned.
 	returnedCellBackoff = 5 * cottonlanding.Second
-	// delegatedPrefix begins the state of a task that another cell runs; the number of that cell follows.
-	// Code that doesn't know of delegation neither places nor ends such a task, and writes its state back.
+	// delegatedPrefix begins the state of a task that another cell runs; the number of that cell follows. Code that
+	// predates delegation neither places nor ends such a task, and writes its state back unchanged.
 	delegatedPrefix = "L"
 )
 
-// DelegatedTask is a task as its keeper and its guest cell tell each other of it.
+// DelegatedTask is the state of a task as exchanged between its delegator and its delegate cell.
 type DelegatedTask struct {
 	Ref cottonlanding.TaskRef
-	// Number is that of the last run in the cell that tells. The other one starts above it.
+	// Number is that of the last run in the sending cell. The receiving cell starts above it.
 	Number cottonlanding.RunNumber
-	// Returned, in an answer, says that the guest cell has given the task back for good.
+	// Returned, in a response, says that the delegate cell has returned the task for good.
 	Returned bool `json:",omitempty"`
-	// Running, in an answer, says that the task has a run.
+	// Running, in a response, says that the task has a run.
 	Running bool `json:",omitempty"`
-	// Waited, of a task that was returned, is how long it had waited by then.
+	// Waited, of a returned task, is how long it had waited by then.
 	Waited     cottonlanding.Millis      `json:",omitempty"`
 	Crashes    cottonlanding.CrashRecord `json:",omitzero"`
 	Checkpoint cottonlanding.Checkpoint  `json:",omitempty"`
 }
 
-// DelegatedWorkflow is what a keeper asks of the tasks of one workflow.
+// DelegatedWorkflow is the part of a request that concerns one workflow.
 type DelegatedWorkflow struct {
 	Workflow cottonlanding.Workflow
 	Queue    cottonlanding.Queue
-	// Over says that the workflow has ended: its tasks are to be stopped.
+	// Over says that the workflow has ended and its tasks are to be stopped.
 	Over  bool `json:",omitempty"`
 	Tasks []DelegatedTask
 }
 
-// DelegationStamp is an instant of a guest cell's owner. The keeper sends it back with its next
-// question, which shows how old that can be at most.
+// DelegationStamp is an instant on the clock of a delegate cell's owner. The delegator returns it with its next
+// request, which bounds the age of that request.
 type DelegationStamp struct {
 	Epoch cottonlanding.Epoch
 	At    cottonlanding.Millis
 }
 
-// DelegationRequest is what a keeper asks a guest cell.
+// DelegationRequest is what a delegator sends to a delegate cell.
 type DelegationRequest struct {
 	Delegator cottonlanding.CellNumber `json:"Keeper"`
-	// Last is the stamp of the last answer that this keeper's owner got.
+	// Last is the stamp of the last response that the delegator's current owner has received.
 	Last      DelegationStamp `json:",omitzero"`
 	Workflows []DelegatedWorkflow
 }
 
-// DelegatedWorkflowReport is what a guest cell knows of a workflow that was asked about.
+// DelegatedWorkflowReport is what a delegate cell knows of a workflow in a request.
 type DelegatedWorkflowReport struct {
 	ID cottonlanding.WorkflowID
-	// Ended says that the guest cell has ended what it held of the workflow, for good.
+	// Ended says that the delegate cell has ended its part of the workflow for good.
 	Ended bool `json:",omitempty"`
-	// Failed is why the guest cell has given the workflow up; empty if it hasn't.
+	// Failed is the reason for which the delegate cell has failed the workflow; empty if it hasn't.
 	Failed string `json:",omitempty"`
 	Tasks  []DelegatedTask
 }
 
-// DelegationResponse is what a guest cell answers.
+// DelegationResponse is what a delegate cell answers to a request.
 type DelegationResponse struct {
 	Stamp   DelegationStamp
 	Reports []DelegatedWorkflowReport
@@ -100,11 +99,11 @@
 	Ref     cottonlanding.TaskRef
 	Service cottonlanding.ServiceName
 	Need    cottonlanding.Resources
-	// Avoid lists the cells that have returned the task lately.
+	// Avoid lists the cells that have returned the task within returnedCellBackoff.
 	Avoid []cottonlanding.CellNumber
 }
 
-// Delegation says which cell is to run a task.
+// Delegation assigns a task to the cell that is to run it.
 type Delegation struct {
 	Ref cottonlanding.TaskRef
 	To  cottonlanding.CellNumber
@@ -115,7 +114,7 @@
 	return taskState(delegatedPrefix + strconv.Itoa(int(cell)))
 }
 
-// delegateCell returns the cell that runs the task, if that isn't this one.
+// delegateCell returns the cell to which the task is delegated, if any.
 func (t *task) delegateCell() (cottonlanding.CellNumber, bool) {
 	digits, found := strings.CutPrefix(string(t.state), delegatedPrefix)
 	if !found {
@@ -125,14 +124,15 @@
 	return cottonlanding.CellNumber(number), err == nil
 }
 
-// setRemote changes the state of a task without a run to or from one that isn't run here.
+// setRemote sets the state of a task without a run when this cell begins or ceases to hold it.
 func (t *task) setRemote(state taskState) {
 	t.job.size.remote += len(state) - len(t.state)
 	t.state = state
 }
 
-// DelegableTasks returns up to a number of lasting tasks that wait without room here, those that had a run first; if there
-// are more, others the next time. Workflows of which nothing was placed are left out where they can be handed over whole.
+// DelegableTasks returns up to most lasting tasks that wait without room in this cell, those that ran before first.
+// Repeated calls go through all of them in turn. Workflows of which nothing was placed are left out in their home
+// cell, where they can be handed over whole.
 func (c *Cell) DelegableTasks(most int, home func(cottonlanding.WorkflowID) bool, now cottonlanding.Millis) []DelegableTask {
 	var interrupted, others []*task
 	for _, j := range c.openJobs {
@@ -158,10 +158,10 @@
 	return out
 }
 
-// taskCursor goes through tasks some at a time, so that each has its turn.
+// taskCursor iterates over a list of tasks in batches, wrapping around, so that every task gets its turn.
 type taskCursor struct{ next int }
 
-// nextTasks returns up to a number of tasks, beginning after those that it returned last.
+// nextTasks returns up to most tasks, beginning after those that it returned last.
 func (r *taskCursor) nextTasks(tasks []*task, most int) []*task {
 	count := min(len(tasks), most)
 	if count == 0 {
@@ -172,22 +172,22 @@
 	return slices.Concat(tasks[first:], tasks[:first])[:count]
 }
 
-// mayDelegate reports whether tasks of the workflow may go to other cells.
+// mayDelegate reports whether tasks of the workflow may be delegated.
 func (c *Cell) mayDelegate(j *job) bool {
 	if _, known := c.queues.Queues[j.Queue]; !known {
-		return false // it is to run down
+		return false // workflows of a removed queue stay in their cell
 	}
 	ends := j.state.Final() || j.Schedule.Rounds > 0 || j.isDelegatedHere()
 	return !ends && j.persisted && rowFits(j.Workflow, maxLifeBytes)
 }
 
-// delegable reports whether the task waits without room for long enough.
+// delegable reports whether the task has waited without room for long enough to be delegated.
 func (t *task) delegable(now cottonlanding.Millis) bool {
 	single := t.stage.Lasting && !t.stage.Fills && !t.stage.Gang
 	return single && t.stage.ready && t.state == taskWaiting && now-max(t.waitingSince, t.returnedAt) >= delegateAfter
 }
 
-// avoidedCells returns the cells that have returned the task lately.
+// avoidedCells returns the cells that have returned the task within returnedCellBackoff.
 func (t *task) avoidedCells(now cottonlanding.Millis) []cottonlanding.CellNumber {
 	var out []cottonlanding.CellNumber
 	for cell, at := range t.returnedBy {
@@ -198,7 +198,7 @@
 	return out
 }
 
-// Delegate has another cell run a task that Delegables has returned just now.
+// Delegate assigns a task that DelegableTasks has just returned to another cell.
 func (c *Cell) Delegate(ref cottonlanding.TaskRef, to cottonlanding.CellNumber, now cottonlanding.Millis) {
 	t := c.jobs[ref.Workflow].task(ref)
 	state := delegatedState(to)
@@ -218,16 +218,16 @@
 // HasDelegations reports whether other cells may run tasks of this one.
 func (c *Cell) HasDelegations() bool { return len(c.remote) > 0 }
 
-// TakeDelegationChange reports whether a delegation, or the end of a workflow with such, was committed since it was last called:
-// what guest cells are to be told at once.
+// TakeDelegationChange reports whether, since its last call, a delegation was committed or a workflow with delegated
+// tasks ended. The delegate cells are to be informed at once.
 func (c *Cell) TakeDelegationChange() bool {
 	changed := c.delegationChanged
 	c.delegationChanged = false
 	return changed
 }
 
-// Delegations returns what to ask each cell that runs tasks of this one. Neither a delegation nor
-// the end of a workflow is told before it is committed.
+// Delegations returns the requests for each delegate cell. A delegation, or the end of a workflow, is included only
+// once it is committed.
 func (c *Cell) Delegations() map[cottonlanding.CellNumber][]DelegatedWorkflow {
 	out := make(map[cottonlanding.CellNumber][]DelegatedWorkflow)
 	for _, id := range slices.Sorted(maps.Keys(c.remote)) {
@@ -242,7 +242,7 @@
 	return out
 }
 
-// delegatedTasks returns the job's tasks that other cells may run.
+// delegatedTasks returns the job's tasks whose delegation is committed, by delegate cell.
 func (j *job) delegatedTasks() map[cottonlanding.CellNumber][]DelegatedTask {
 	out := make(map[cottonlanding.CellNumber][]DelegatedTask)
 	j.eachTask(func(t *task) {
@@ -253,7 +253,7 @@
 	return out
 }
 
-// pruneRemote forgets that tasks of the job are in other cells once none is.
+// pruneRemote removes the job from the remote ones if none of its tasks is delegated.
 func (c *Cell) pruneRemote(j *job) {
 	remote := false
 	j.eachTask(func(t *task) {
@@ -265,7 +265,7 @@
 	}
 }
 
-// RecordDelegationResponse takes in what a guest cell has answered.
+// RecordDelegationResponse applies the response of a delegate cell.
 func (c *Cell) RecordDelegationResponse(from cottonlanding.CellNumber, response DelegationResponse, now cottonlanding.Millis) {
 	for _, report := range response.Reports {
 		j := c.jobs[report.ID]
@@ -286,7 +286,7 @@
 	}
 }
 
-// forgetDelegatedTasks notes that a cell has ended what it held of a workflow that is over.
+// forgetDelegatedTasks records that a delegate cell has ended its part of a workflow that is over.
 func (c *Cell) forgetDelegatedTasks(j *job, cell cottonlanding.CellNumber) {
 	j.eachTask(func(t *task) {
 		if at, found := t.delegateCell(); found && at == cell {
@@ -297,14 +297,14 @@
 	c.pruneRemote(j)
 }
 
-// recordTaskReport takes in what a guest cell knows of a task.
+// recordTaskReport applies what a delegate cell reports of one task.
 func (c *Cell) recordTaskReport(j *job, from cottonlanding.CellNumber, reported DelegatedTask, now cottonlanding.Millis) {
 	t := j.task(reported.Ref)
 	if t == nil {
 		return
 	}
 	if at, found := t.delegateCell(); !found || at != from || reported.Number < t.number {
-		return // an answer that was overtaken
+		return // an outdated response
 	}
 	if reported.Running {
 		t.lastRunningAt = now
@@ -312,7 +312,7 @@
 		c.recordRunsElsewhere(t, reported.Number, from, now)
 	}
 	if !reported.Returned || reported.Number == t.number || j.state.Final() {
-		return // or the answer is about an earlier delegation
+		return // or the response is about an earlier delegation
 	}
 	t.setRemote(taskWaiting)
 	t.number, t.crashes = reported.Number, reported.Crashes
@@ -327,14 +327,14 @@
 	c.log.Info("delegated task returned", "Task", t.ref.String(), "Run", t.number, "From", from, "Waited", now-t.waitingSince)
 }
 
-// adoptCheckpoint takes over the newest text of a task that passes from one cell to another.
+// adoptCheckpoint uses the newest checkpoint of a task that moves from one cell to another.
 func (t *task) adoptCheckpoint(reported DelegatedTask, now cottonlanding.Millis) {
 	if reported.Checkpoint != "" && t.stage.Checkpoints {
 		t.checkpoint = knownCheckpoint{text: cottonlanding.NewCheckpoint(string(reported.Checkpoint)), how: checkpointLoaded, run: reported.Number, at: now}
 	}
 }
 
-// markStartedRemotely notes that a task of the workflow runs in another cell.
+// markStartedRemotely records that a task of the workflow runs in another cell.
 func (c *Cell) markStartedRemotely(j *job) {
 	j.started = true
 	if j.placed {
--- a/internal/workflow/planner/delegation_test.go
+++ b/internal/workflow/planner/delegation_test.go
@@ -12,19 +12,18 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestDelegatedTasksRunExactlyOnce plays random histories of three cells: tasks are delegated to any cell,
-// with room or without; questions and answers get lost or come late; workers crash and fall silent; owners
-// change with a commit under way; workflows are cancelled. No task runs twice, none starts long after its
-// workflow was cancelled, each runs again in time once all goes well, and of a cancelled workflow
-// nothing is left in any cell.
+// TestDelegatedTasksRunExactlyOnce plays random histories of three cells: tasks are delegated to any cell, with room or
+// without; requests and responses get lost or arrive late; workers crash and fall silent; owners change with a commit
+// in flight; workflows are cancelled. It guards against tasks that run twice, start long after their workflow was
+// cancelled or stay down once all faults have ended, and against remains of cancelled workflows in any cell.
 func TestDelegatedTasksRunExactlyOnce(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		const mostTasks = 30 // of the 48 for which there is room while all workers are up
+		const mostTasks = 30 // of the 48 that fit while all workers are up
 		n := newMultiCell(t, 3, 2)
 		homes := make(map[cottonlanding.WorkflowID]int)
 		tasks := make(map[cottonlanding.WorkflowID]int)
-		const first, wide = cottonlanding.WorkflowID("l0"), 20 // for 16 of which the first cell has room
+		const first, wide = cottonlanding.WorkflowID("l0"), 20 // of which 16 fit into the first cell
 		sum := wide
 		homes[first], tasks[first] = 0, wide
 		n.turn(100)
@@ -126,7 +125,7 @@
 			}
 			w.late = nil
 		}
-		for range 4 * otherCellRestartTimeout / 100 { // leases may have to run out first
+		for range 4 * otherCellRestartTimeout / 100 { // leases may have to expire first
 			n.turn(100)
 			n.check(t)
 		}
@@ -137,7 +136,7 @@
 				expected += tasks[id]
 			}
 		}
-		require.Equal(t, expected, n.cells[0].runner.Lasting(), "each task runs once")
+		require.Equal(t, expected, n.cells[0].runner.Lasting(), "each task must run once")
 		for cell, w := range n.cells {
 			require.Zero(t, w.cell.Waiting("Bulk"), "what waits in cell %d", cell)
 		}
@@ -148,21 +147,21 @@
 			n.turn(100)
 			n.check(t)
 		}
-		require.Zero(t, n.cells[0].runner.Running(), "nothing is left of cancelled workflows")
+		require.Zero(t, n.cells[0].runner.Running(), "cancelled workflows must leave no runs")
 		for _, w := range n.cells {
 			require.False(t, w.cell.HasDelegations())
 		}
 	})
 }
 
-// TestInterruptedTaskLeavesFullCell: a lasting task that lost its worker waited in its full cell for good, beside
-// cells with room. It runs there in time, also if owners on both sides change meanwhile.
+// TestInterruptedTaskLeavesFullCell guards against a lasting task that has lost its worker and waits in its full cell
+// beside cells with room. It must run there in time, also if owners on either side change meanwhile.
 func TestInterruptedTaskLeavesFullCell(t *testing.T) {
-	for at := 60; at < 90; at++ { // from just before the lease of the lost worker runs out
+	for at := 60; at < 90; at++ { // from just before the lease of the lost worker expires
 		change := at % 3
 		n := newMultiCell(t, 2, 2)
 		n.turn(100)
-		n.cells[0].submit("l", "Bulk", lastingCores(16)) // all of its cell
+		n.cells[0].submit("l", "Bulk", lastingCores(16)) // fills its cell
 		for range 5 {
 			n.turn(100)
 		}
@@ -180,8 +179,8 @@
 	}
 }
 
-// TestTaskReturnsFromFullDelegateCell: a cell to which a task was delegated has no room for it by then. The task
-// goes back at once and runs in a third cell, with a number above all before.
+// TestTaskReturnsFromFullDelegateCell guards against a delegated task that stays in a delegate cell which has filled up
+// meanwhile. The task must return at once and run in a third cell.
 func TestTaskReturnsFromFullDelegateCell(t *testing.T) {
 	n := newMultiCell(t, 3, 2)
 	n.turn(100)
@@ -211,11 +210,11 @@
 	n.check(t)
 }
 
-// newDelegatedTasks returns two cells of which the second has been asked to run four tasks of the first, and the question.
+// newDelegatedTasks returns two cells of which the second is to run four tasks of the first, and the request for that.
 func newDelegatedTasks(t *testing.T) (*multiCell, planner.DelegationRequest) {
 	n := newMultiCell(t, 2, 2)
 	n.turn(100)
-	n.cells[0].submit("l", "Bulk", lastingCores(20)) // for 16 of which there is room
+	n.cells[0].submit("l", "Bulk", lastingCores(20)) // of which 16 fit
 	for range 12 {
 		n.cells[0].turn(100)
 		n.syncClocks()
@@ -237,25 +236,25 @@
 	return sum
 }
 
-// exchange has the second cell answer a question, and tells the first.
+// exchange sends a request to the second cell and its response to the first.
 func (n *multiCell) exchange(request planner.DelegationRequest) planner.DelegationResponse {
 	response := n.cells[1].cell.HandleDelegationRequest(request, n.cells[1].now)
 	n.cells[0].cell.RecordDelegationResponse(1, response, n.cells[0].now)
 	return response
 }
 
-// TestLateRequestIsIgnored: a task that a cell has returned isn't taken by it again for a question
-// from before that: its keeper may have started it by then.
+// TestLateRequestIsIgnored guards against a cell that accepts a task again after it has returned it, on a request sent
+// before: the delegator may have started the task by then.
 func TestLateRequestIsIgnored(t *testing.T) {
 	n, request := newDelegatedTasks(t)
 	n.cells[1].submit("lfull", "Bulk", lastingCores(16))
 	n.cells[1].turn(100)
 	n.cells[1].turn(100)
 	request.Last = n.exchange(request).Stamp
-	n.exchange(request) // it goes on
+	n.exchange(request) // confirms that the workflow is open
 	n.cells[1].turn(cottonlanding.Second)
 	request.Last = n.exchange(request).Stamp
-	n.cells[1].turn(cottonlanding.Second) // it is too long without room
+	n.cells[1].turn(cottonlanding.Second) // they wait without room until they are returned
 	n.cells[1].turn(100)
 	returned := n.exchange(request)
 	require.Len(t, returned.Reports[0].Tasks, 4)
@@ -266,11 +265,11 @@
 		n.cells[1].turn(100)
 		request.Last = n.cells[1].cell.HandleDelegationRequest(request, n.cells[1].now).Stamp
 	}
-	require.Equal(t, 16, n.cells[0].runner.Lasting(), "only those of the first cell run")
+	require.Equal(t, 16, n.cells[0].runner.Lasting(), "only those of the first cell must run")
 }
 
-// TestReturnIsReportedAfterCommit: an owner that is gone before it has committed a return has told nobody of it;
-// the next one runs the task.
+// TestReturnIsReportedAfterCommit guards against an owner that reports the return of a task and is lost before it has
+// committed it, so that its successor runs the task as well.
 func TestReturnIsReportedAfterCommit(t *testing.T) {
 	n, request := newDelegatedTasks(t)
 	n.cells[1].submit("lfull", "Bulk", lastingCores(16))
@@ -282,7 +281,7 @@
 	n.cells[1].now += cottonlanding.Second
 	request.Last = n.exchange(request).Stamp
 	n.exchange(request)
-	n.cells[1].makePlan() // with the return
+	n.cells[1].makePlan() // the plan contains the return
 	for _, report := range n.exchange(request).Reports {
 		require.Empty(t, report.Tasks)
 	}
@@ -291,8 +290,8 @@
 	require.True(t, n.exchange(request).Reports[0].Tasks[0].Returned)
 }
 
-// TestStartsNeedDelegatorConfirmation: a keeper that has fallen silent may have cancelled its workflow. What
-// runs goes on; what is interrupted waits.
+// TestStartsNeedDelegatorConfirmation guards against a delegate cell that starts tasks of a workflow which a silent
+// delegator may have cancelled. Running tasks continue, interrupted ones wait.
 func TestStartsNeedDelegatorConfirmation(t *testing.T) {
 	n, request := newDelegatedTasks(t)
 	for range 3 {
@@ -317,11 +316,11 @@
 		request.Last = n.exchange(request).Stamp
 		n.cells[1].turn(100)
 	}
-	require.Equal(t, 4, n.runsIn(1), "once the keeper is heard of")
+	require.Equal(t, 4, n.runsIn(1), "must run once the delegator has confirmed")
 }
 
-// TestWaitingTasksTakeTurnsToLeave guards against tasks that are never weighed for other cells because as many as
-// are weighed at a time wait before them and find room nowhere.
+// TestWaitingTasksTakeTurnsToLeave guards against waiting tasks that are never considered for other cells because the
+// same ones before them, which fit nowhere, are considered each time.
 func TestWaitingTasksTakeTurnsToLeave(t *testing.T) {
 	const tasks, room, most = 40, 16, 10
 	n := newMultiCell(t, 1, 2)
@@ -340,7 +339,7 @@
 }
 
 // TestInterruptedTasksLeaveFirst guards against tasks that never ran taking the little room of other cells from those
-// whose worker was lost.
+// that have lost their worker.
 func TestInterruptedTasksLeaveFirst(t *testing.T) {
 	const tasks, perWorker = 40, 8
 	n := newMultiCell(t, 1, 2)
@@ -357,7 +356,7 @@
 		first := n.cells[0].cell.DelegableTasks(perWorker, func(cottonlanding.WorkflowID) bool { return true }, n.cells[0].now)
 		require.Len(t, first, perWorker)
 		for _, task := range first {
-			require.Less(t, task.Ref.Index, 2*perWorker, "it ran")
+			require.Less(t, task.Ref.Index, 2*perWorker, "must have run before")
 		}
 	}
 }
--- a/internal/workflow/planner/faultkinds_test.go
+++ b/internal/workflow/planner/faultkinds_test.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// maxRestartDelay is how long a crashed worker takes at most to be back, longestJoin one that takes the room of another
-	// that is gone for good.
+	// maxRestartDelay is the maximum time until a crashed worker runs again, maxReplacementDelay until another one
+	// replaces a worker that is gone for good.
 	maxRestartDelay     = 4 * cottonlanding.Second
 	maxReplacementDelay = 12 * cottonlanding.Second
-	// maxDrainTime is how long the entry of a worker that leaves stays at most.
+	// maxDrainTime is how long the entry of a leaving worker stays listed at most.
 	maxDrainTime = 8 * cottonlanding.Second
-	// maxOwnerVacancy is how long a cell has no owner at most.
+	// maxOwnerVacancy is the maximum time that a cell has no owner.
 	maxOwnerVacancy = 2500 * cottonlanding.Millis(1)
-	// maxTableOutage is how long the table takes no commits at most, longestHold how long starts wait.
+	// maxTableOutage is the maximum time in which commits fail, maxStall that in which starts are held.
 	maxTableOutage = 5 * cottonlanding.Second
 	maxStall       = 4 * cottonlanding.Second
 )
 
-// faultKinds holds what a history may have, each with what is left of the phase of trouble.
+// faultKinds holds the kinds of faults of histories, each called with the remaining time of the fault phase.
 var faultKinds = []func(*rerunHistory, *simulatedCell, cottonlanding.Millis){
 	func(h *rerunHistory, p *simulatedCell, _ cottonlanding.Millis) { h.crashSome(p, 1) },
 	func(h *rerunHistory, p *simulatedCell, _ cottonlanding.Millis) { h.crashSome(p, 1+h.random.Intn(3)) },
@@ -46,14 +46,12 @@
 	func(h *rerunHistory, p *simulatedCell, left cottonlanding.Millis) {
 		h.silenceTable(p, h.span(turnSpan, min(left, maxTableOutage)))
 	},
-	func(h *rerunHistory, p *simulatedCell, left cottonlanding.Millis) {
-		h.stall(p, min(left, maxStall))
-	},
+	func(h *rerunHistory, p *simulatedCell, left cottonlanding.Millis) { h.stall(p, min(left, maxStall)) },
 	func(h *rerunHistory, _ *simulatedCell, _ cottonlanding.Millis) { h.evacuateSome() },
 	func(h *rerunHistory, _ *simulatedCell, _ cottonlanding.Millis) { h.submitFaultyTask() },
 }
 
-// injectFault begins one injectFault that has ended by the end of the phase.
+// injectFault starts one fault, which ends by the end of the fault phase.
 func (h *rerunHistory) injectFault() {
 	if len(h.kinds) == 0 {
 		return
@@ -62,7 +60,7 @@
 	h.kinds[h.random.Intn(len(h.kinds))](h, p, max(h.faultPhaseEnd-h.now(), turnSpan))
 }
 
-// pick returns up to a number of workers that are sound.
+// pick returns up to most healthy workers.
 func (h *rerunHistory) pick(p *simulatedCell, most int) []cottonlanding.WorkerInfo {
 	sound := slices.DeleteFunc(slices.Clone(p.workers), func(info cottonlanding.WorkerInfo) bool {
 		return h.gone[info.ID] || h.unreachable[info.ID] || info.State != cottonlanding.Live
@@ -79,7 +77,7 @@
 	}
 }
 
-// handleCrashed settles what becomes of workers that their tasks have crashed.
+// handleCrashed plans the recovery of workers that were crashed by their tasks.
 func (h *rerunHistory) handleCrashed() {
 	for _, id := range h.cells[0].runner.TakeCrashed() {
 		for _, p := range h.cells {
@@ -91,7 +89,7 @@
 	}
 }
 
-// planRecovery has a worker that has crashed be back under its id, have another life at its address, or neither.
+// planRecovery has a crashed worker restart under its id, be replaced at its address, or stay away.
 func (h *rerunHistory) planRecovery(p *simulatedCell, id cottonlanding.WorkerID) {
 	h.gone[id] = true
 	p.lastFaultAt = h.now()
@@ -110,13 +108,13 @@
 	}
 }
 
-// restart begins the next life of a worker under its id; its entry tells of that somewhat later.
+// restart begins the next life of a worker under its id, which its entry shows somewhat later.
 func (h *rerunHistory) restart(p *simulatedCell, id cottonlanding.WorkerID) {
 	at := slices.IndexFunc(p.workers, func(info cottonlanding.WorkerInfo) bool { return info.ID == id })
 	if at < 0 {
-		return // it was leaving, and its entry has gone
+		return // it was leaving and its entry was removed
 	}
-	h.recordEvent("%s is back", id)
+	h.recordEvent("%s has restarted", id)
 	delete(h.gone, id)
 	p.workers = slices.Clone(p.workers)
 	p.workers[at].State = cottonlanding.Live
@@ -124,14 +122,14 @@
 	h.schedule(h.span(0, cottonlanding.Second), func() { p.list() })
 }
 
-// replace begins another worker at the address of one that has crashed.
+// replace starts another worker at the address of a crashed one.
 func (h *rerunHistory) replace(p *simulatedCell, id cottonlanding.WorkerID) {
 	for _, info := range p.workers {
 		if info.ID == id {
 			info.State = cottonlanding.Live
 			p.addLife(info)
 			p.restartWorker(len(p.workers) - 1)
-			h.recordEvent("%s comes at the address of %s", p.workers[len(p.workers)-1].ID, id)
+			h.recordEvent("%s starts at the address of %s", p.workers[len(p.workers)-1].ID, id)
 		}
 	}
 	p.list()
@@ -159,7 +157,7 @@
 }
 
 func (h *rerunHistory) makeUnreachable(p *simulatedCell, id cottonlanding.WorkerID, span cottonlanding.Millis) {
-	h.recordEvent("%s is silent for %d", id, span)
+	h.recordEvent("%s is unreachable for %d", id, span)
 	h.unreachable[id] = true
 	p.runner.Dark(id, true)
 	h.schedule(span, func() {
@@ -168,7 +166,7 @@
 	})
 }
 
-// drainSome has workers leave, with others in their place before or after.
+// drainSome has workers leave, and others replace them before or after that.
 func (h *rerunHistory) drainSome(p *simulatedCell, most int) {
 	for _, chosen := range h.pick(p, most) {
 		id := chosen.ID
@@ -201,13 +199,13 @@
 	}
 }
 
-// changeOwners has owners follow each other, some of them with a commit whose answer they never get.
+// changeOwners has owners follow each other, some of them with a commit whose answer never arrives.
 func (h *rerunHistory) changeOwners(p *simulatedCell, times int) {
 	after := h.span(300, maxOwnerVacancy)
 	if p.owned() && p.plan != nil && p.now >= p.tableSilentUntil && h.random.Intn(2) == 0 {
 		p.apply()
 	}
-	h.recordEvent("the owner ends; the next one comes after %d", after)
+	h.recordEvent("the owner ends; the next one starts after %d", after)
 	p.endOwner(after)
 	if times > 1 {
 		if gap := after + h.span(300, 4*cottonlanding.Second); h.now()+gap < h.faultPhaseEnd {
@@ -226,22 +224,22 @@
 
 func (h *rerunHistory) losePolls(p *simulatedCell, span cottonlanding.Millis) {
 	for _, info := range h.pick(p, 1+h.random.Intn(max(1, len(p.workers)))) {
-		h.recordEvent("looks at %s fail for %d", info.ID, span)
+		h.recordEvent("polls of %s fail for %d", info.ID, span)
 		p.answersLostUntil[info.ID] = h.now() + span
 	}
 }
 
-// silenceTable has no commit succeed for a while. An owner that can't write its beat for long is followed by another
-// once the table answers again.
+// silenceTable has commits fail for a span. An owner that can't write its beat for ownerTTL is replaced once the
+// table answers again.
 func (h *rerunHistory) silenceTable(p *simulatedCell, span cottonlanding.Millis) {
-	h.recordEvent("the table is silent for %d", span)
+	h.recordEvent("commits fail for %d", span)
 	p.tableSilentUntil = h.now() + span
 	if span > ownerTTL {
 		h.schedule(ownerTTL, func() { p.endOwner(span - ownerTTL + h.span(300, cottonlanding.Second)) })
 	}
 }
 
-// stall has the owner stand still, or its starts wait because what it knows is too old.
+// stall has the owner stop acting, or hold starts as its data is too old.
 func (h *rerunHistory) stall(p *simulatedCell, most cottonlanding.Millis) {
 	span := h.span(turnSpan, most)
 	if h.random.Intn(2) == 0 {
@@ -250,11 +248,11 @@
 		return
 	}
 	span = min(span, ownerTTL)
-	h.recordEvent("the owner stands still for %d", span)
+	h.recordEvent("the owner stalls for %d", span)
 	p.pausedUntil = h.now() + span
 }
 
-// evacuateSome evacuates a data centre for a while, also beyond the phase of trouble.
+// evacuateSome evacuates a data centre for a span that may outlast the fault phase.
 func (h *rerunHistory) evacuateSome() {
 	place := dataCentres[h.random.Intn(len(dataCentres))]
 	h.recordEvent("%s is evacuated", place)
@@ -262,18 +260,18 @@
 		p.evacuate(place, true)
 	}
 	h.schedule(h.span(turnSpan, maxFaultPhase), func() {
-		h.recordEvent("%s is evacuated no more", place)
+		h.recordEvent("the evacuation of %s ends", place)
 		for _, p := range h.cells {
 			p.evacuate(place, false)
 		}
 	})
 }
 
-// submitFaultyTask hands in a task that crashes its workers.
+// submitFaultyTask submits a task that crashes its workers.
 func (h *rerunHistory) submitFaultyTask() {
 	h.submitted++
 	id := cottonlanding.WorkflowID(fmt.Sprintf("c%d", h.submitted))
 	h.cells[0].faultyTasks[firstTask(id)] = true
-	h.recordEvent("culprit %s", id)
+	h.recordEvent("faulty task %s", id)
 	h.submitTo(0, id, short(1000))
 }
--- a/internal/workflow/planner/forecast.go
+++ b/internal/workflow/planner/forecast.go
@@ -2,19 +2,17 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// forecast is what is left to be done of a workflow, by its client's estimates. It changes only
-// when tasks are done, a round is added or the queue does, while each decision asks for that
-// of every open workflow.
+// forecast is the remaining work of a workflow by its client's estimates. It is cached, as each decision needs that of
+// every open workflow while it changes only when tasks end, a round is added or the queue changes.
 type forecast struct {
-	// work is that of all tasks, left that of those that aren't done, in
-	// millicore-milliseconds.
+	// work is that of all tasks, left that of the unfinished ones, in millicore-milliseconds.
 	work, left float64
-	// objective is the time in which the workflow should be done, chainLeft the longest chain
-	// of estimates through the steps that aren't; both only where its queue has an objective.
+	// objective is the time in which the workflow should be done, chainLeft the longest chain of estimates through
+	// the unfinished steps; both are set only if its queue has an objective.
 	objective, chainLeft cottonlanding.Millis
 }
 
-// latestForecast returns the outlook of a workflow.
+// latestForecast returns the forecast of a workflow, computed if it isn't cached.
 func (j *job) latestForecast() forecast {
 	if j.forecast == nil {
 		j.forecast = &forecast{}
@@ -28,22 +26,20 @@
 	return *j.forecast
 }
 
-// slack is how much longer a workflow may wait to be done in its time, negative for one that
-// can't be any more.
+// slack is how much longer a workflow may wait and still meet its objective; negative if it no longer can.
 func (j *job) slack(now cottonlanding.Millis) cottonlanding.Millis {
 	latestForecast := j.latestForecast()
 	return latestForecast.objective - (now - j.accepted) - latestForecast.chainLeft
 }
 
-// late reports whether a workflow can't be done in its time any more. One that lasts counts as
-// late once its latency target has passed: it can wait, while short ones of the same priority
-// are worth most if they are done soon.
+// late reports whether a workflow can no longer meet its objective. One with lasting tasks counts as late once its
+// latency target has passed: it can wait, while short ones of the same priority are worth most if they end soon.
 func (j *job) late(now cottonlanding.Millis) bool {
 	return j.queue.Stretch > 0 && j.Schedule.Rounds == 0 && j.slack(now) < 0
 }
 
-// work returns the work of all tasks and of those that aren't done, by the client's estimates,
-// in millicore-milliseconds.
+// work returns the work of all tasks and that of the unfinished ones, by the client's estimates, in
+// millicore-milliseconds.
 func (j *job) work() (all, left float64) {
 	for _, r := range j.rounds {
 		for _, s := range r.steps {
--- a/internal/workflow/planner/handover_test.go
+++ b/internal/workflow/planner/handover_test.go
@@ -9,13 +9,12 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestHandOverCandidateYieldsRoom has a cell full of lasting workflows and one more wait, until the
-// owner dies and all leases run out before the next one is there. Seen: that one decided 700 ms
-// after the workers had listed the ends; the workflow that had waited got the room of one that
-// had run, and this waited for good, as it can't be handed over, while other cells had room.
+// TestHandOverCandidateYieldsRoom guards against a workflow that never ran taking the room of one that did when a new
+// owner starts after all leases have expired and decides 700 ms after the workers have listed the ended runs. The
+// displaced workflow can't be handed over and waits while other cells have room; the one that never ran could be.
 func TestHandOverCandidateYieldsRoom(t *testing.T) {
 	w := newSpreadWorld(t)
-	const full = 32 // on four workers of eight cores
+	const full = 32 // one core each on four workers of eight
 	lasting := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 1000, Memory: cottonlanding.Gigabyte}, Lasting: true}
 	w.turn(100)
 	for number := range full {
@@ -25,7 +24,7 @@
 		w.turn(100)
 	}
 	require.Equal(t, full, w.runner.Lasting())
-	const waits cottonlanding.WorkflowID = "la" // rows are read in the order of ids
+	const waits cottonlanding.WorkflowID = "la" // first in the order of ids, in which rows are read
 	w.submit(waits, "Bulk", lasting)
 	w.turn(100)
 
@@ -40,8 +39,8 @@
 	require.Equal(t, waits, left[0].ID)
 }
 
-// TestReportCountsLastingTasks: room that short tasks hold or wait for comes free, so that a
-// cell with too many of those still has room for lasting ones.
+// TestReportCountsLastingTasks guards against reports that count room of short tasks as taken for good: a cell with too
+// many of those still has room for lasting ones.
 func TestReportCountsLastingTasks(t *testing.T) {
 	w := newSpreadWorld(t)
 	step := cottonlanding.Step{Tasks: 16, Resources: cottonlanding.Resources{CPU: 1000, Memory: cottonlanding.Gigabyte}, Estimate: slowDuration}
@@ -59,5 +58,5 @@
 	require.InDelta(t, 0.5, report.Lasting, 1e-9)
 	w.submit("lastingToo", "Bulk", lasting, lasting)
 	report, _ = w.cell.Report(w.now + cottonlanding.Second)
-	require.InDelta(t, 1.5, report.Lasting, 1e-9, "what waits counts")
+	require.InDelta(t, 1.5, report.Lasting, 1e-9, "waiting tasks must count")
 }
--- a/internal/workflow/planner/interference.go
+++ b/internal/workflow/planner/interference.go
@@ -6,64 +6,61 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Serving tasks answer their own users; their tail latency grows with how busy
-// they are, as that of a queue does: tail = base / (1 - busy). Filling tasks
-// beside them add to busy in proportion to the processors that they use, by an
-// amount that depends on both images. That amount is learnt for each pair of
-// images from the figures of all workers.
+// Serving tasks answer requests of their own users; their tail latency grows with their utilization as that of a
+// queue does: tail = base / (1 - utilization). Filling tasks on the same worker raise the utilization in proportion to
+// the processors that they use, by a weight that depends on both images. The weight is learnt for each pair of
+// images from the measurements of all workers.
 
 const (
-	// initialWeight is the weight assumed for a pair that was not seen yet.
+	// initialWeight is the weight assumed for a pair without measurements.
 	initialWeight = 1.5
-	// measurementSpan is the span that a worker's figures cover.
+	// measurementSpan is the time that a worker's measurement covers.
 	measurementSpan = 450 * cottonlanding.Millis(1)
 	// maxExtrapolation is how far a load is extrapolated at most.
 	maxExtrapolation = 2500 * cottonlanding.Millis(1)
-	// paceLookahead and placeAhead are how far a load is looked ahead when a pace is
-	// set, until the next figure, and when a task is placed, for most of its run.
+	// paceLookahead and placementLookahead are how far a load is predicted when a pace is set, until the next
+	// measurement, and when a task is placed, for most of its run.
 	paceLookahead      = cottonlanding.Second
 	placementLookahead = 2500 * cottonlanding.Millis(1)
-	// modelError is the part of a disturbance by which the model may be wrong.
+	// modelError is the relative error of the interference that the model predicts.
 	modelError = 0.3
-	// minUsage is the part of a worker that filling tasks must use to disturb at all.
+	// minUsage is the fraction of a worker below which filling tasks count as idle.
 	minUsage = 0.005
-	// maxComparableUtilization is how busy a task may be for its figure to be compared: above, its
-	// tail says little.
+	// maxComparableUtilization is the utilization up to which a measurement is used: above, the tail latency says
+	// little.
 	maxComparableUtilization = 0.95
-	// latencyGoalFraction is the share of its latency target at which a serving task is
-	// kept, so that a swing of its load stays below the target. Source: plays on the
-	// users' platform with 0.75, 0.85 and 0.95 (docs/EXPERIMENTS.md).
+	// latencyGoalFraction is the fraction of its latency target at which a serving task is kept, so that swings of its
+	// load stay below the target. docs/EXPERIMENTS.md compares 0.75, 0.85 and 0.95.
 	latencyGoalFraction = 0.85
-	// placementMargin is how much less busy a serving task must be for another filling
+	// placementMargin is by how much the utilization of a serving task must be below its limit for another filling
 	// task to be placed beside it.
 	placementMargin = 0.03
-	// overTargetTimeout is how long a serving task may be over its target before light
-	// filling tasks are stopped too, which leaves time before harm is done.
+	// overTargetTimeout is how long a serving task may exceed its target before light filling tasks are stopped too.
+	// It leaves time before the excess counts as harm.
 	overTargetTimeout = 900 * cottonlanding.Millis(1)
-	// overshootCorrection is how much more than what is too much is taken away, so that
-	// the next figure is below the aim although the load rises.
+	// overshootCorrection is the factor by which an excess is corrected, so that the next measurement is below the
+	// goal although the load rises.
 	overshootCorrection = 2.0
-	// minPaceFraction is the part of its pace that a filling task must be able to keep for
-	// it to be placed.
+	// minPaceFraction is the fraction of its full pace that a filling task must be able to keep for it to be placed.
 	minPaceFraction = 0.5
-	// assumedBaseFraction is the share of its target that an idle task's tail is assumed
-	// to have before a lower tail was seen.
+	// assumedBaseFraction is the fraction of its target that an idle task's tail latency is assumed to have before a
+	// lower one was measured.
 	assumedBaseFraction = 0.25
-	// maxUtilization bounds what a long tail says: beyond it only "too busy" is known.
+	// maxUtilization bounds the utilization derived from a long tail, which shows only that it is too high.
 	maxUtilization = 0.99
 )
 
-// interference is what was learnt of how images disturb each other.
+// interference is the model of how images interfere with each other.
 type interference struct {
 	policy cottonlanding.DisturbancePolicy
-	// weights holds the estimate for each serving image.
+	// weights holds the estimated weights for each serving image.
 	weights map[cottonlanding.Image]*weightEstimate
-	// remoteFindings is what other cells have learnt.
+	// remoteFindings holds what other cells have learnt.
 	remoteFindings findings
-	// base is the shortest tail seen of an image.
+	// base is the shortest tail latency measured for an image.
 	base map[cottonlanding.Image]cottonlanding.Millis
-	// toleratedCounts counts, by the images that serve together, the filling images that hardly
-	// disturb them, as of borneAt.
+	// toleratedCounts holds, by the set of images that serve together, how many filling images hardly interfere with
+	// them, as of toleratedCountsAt.
 	toleratedCounts   map[string]int
 	toleratedCountsAt cottonlanding.Millis
 }
@@ -76,12 +73,12 @@
 	}
 }
 
-// weight returns how much a filling image is taken to disturb a serving one.
+// weight returns the weight with which a filling image raises the utilization of a serving one.
 func (p *interference) weight(filling, serving cottonlanding.Image) float64 {
 	return p.policy.Weight(p.pair(filling, serving))
 }
 
-// pair returns what is known of two images.
+// pair returns what this and other cells have learnt of two images.
 func (p *interference) pair(filling, serving cottonlanding.Image) cottonlanding.PairView {
 	own := unknownPair
 	if known := p.weights[serving]; known != nil {
@@ -90,8 +87,7 @@
 	return combine(own, p.remoteFindings[serving][filling])
 }
 
-// predict returns how much busier filling tasks make a serving image, and the variance of
-// that.
+// predict returns by how much filling tasks raise the utilization of a serving image, and the variance of that.
 func (p *interference) predict(known *weightEstimate, serving cottonlanding.Image, used map[cottonlanding.Image]float64) (added, variance float64) {
 	added, variance = known.predict(used)
 	if len(p.remoteFindings[serving]) == 0 {
@@ -106,7 +102,7 @@
 	return added, variance
 }
 
-// utilization returns how utilization a tail shows its task to be, between 0 and mostBusy.
+// utilization returns the utilization that a tail latency implies, between 0 and maxUtilization.
 func (p *interference) utilization(r *run, tail cottonlanding.Millis) float64 {
 	base := p.baseOf(r)
 	if tail <= base {
@@ -123,12 +119,12 @@
 	return max(base, 1)
 }
 
-// utilizationGoal returns how busy a serving task may be.
+// utilizationGoal returns the utilization at which a serving task is kept.
 func (p *interference) utilizationGoal(r *run) float64 {
 	return p.utilization(r, cottonlanding.Millis(latencyGoalFraction*float64(r.step.LatencyTarget)))
 }
 
-// learnInterference takes in the latest figures of one worker.
+// learnInterference learns from the latest measurement of a worker.
 func (c *Cell) learnInterference(w *worker, serving, filling []*run, now cottonlanding.Millis) {
 	used := make(map[cottonlanding.Image]float64)
 	total := 0.0
@@ -144,7 +140,7 @@
 	settling := total <= minUsage && w.fillingSeenAt > 0 && now-w.fillingSeenAt < measurementSpan+measurementSpan/2
 	for _, s := range serving {
 		if s.tailLatency <= 0 || settling || s.sampledAt > 0 && now-s.sampledAt < measurementSpan {
-			continue // no figure, a mixed one, or maybe the same as the last
+			continue // no measurement, one across a change, or maybe the same as the last
 		}
 		s.sampledAt = now
 		trials := c.interference.untriedAmong(used, s.step.Image)
@@ -153,8 +149,8 @@
 	}
 }
 
-// learnTask learns from one figure of a serving task what its step's own load is,
-// and what the filling tasks beside it add.
+// learnTask learns the base load of a serving task's step, and the weights of the filling tasks beside it, from one
+// measurement.
 func (p *interference) learnTask(s *run, used map[cottonlanding.Image]float64, now cottonlanding.Millis) {
 	p.recordBase(s.step.Image, s.tailLatency)
 	known := p.weights[s.step.Image]
@@ -175,10 +171,10 @@
 	}
 }
 
-// budget returns how much busier the filling tasks beside a serving task may make
-// it: what is left by its own load, and less than they do now while it is over its
-// aim, whatever was learnt before. Light ones are let be unless it was over its
-// target for a while: what they would lose at each peak of the load is worth more.
+// budget returns by how much the filling tasks may raise the utilization of a serving task: by what its base load
+// leaves, and, while it is over its goal, by less than they do now, whatever was learnt before. Light ones are
+// throttled only after the task has been over its target for overTargetTimeout: what they would lose at each peak
+// of the load is worth more.
 func (p *interference) budget(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) budget {
 	out := budget{heavy: p.utilizationGoal(s) - s.expected(now, paceLookahead), light: math.Inf(1)}
 	if over := p.utilization(s, s.tailLatency) - p.utilizationGoal(s); over > 0 {
@@ -198,7 +194,7 @@
 	return out
 }
 
-// added returns how much busier the filling tasks make a serving task now.
+// added returns by how much the filling tasks currently raise the utilization of a serving task.
 func (p *interference) added(s *run, filling []*run, capacity cottonlanding.Millicores) float64 {
 	sum := 0.0
 	for _, f := range filling {
@@ -207,8 +203,8 @@
 	return sum
 }
 
-// slack returns how much busier a serving task may become, given its own load and
-// the filling tasks' paces.
+// slack returns by how much the utilization of a serving task may still rise, given its base load and the paces of
+// the filling tasks.
 func (p *interference) slack(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) float64 {
 	slack := p.utilizationGoal(s) - s.expected(now, placementLookahead)
 	for _, f := range filling {
@@ -217,14 +213,13 @@
 	return slack
 }
 
-// expected returns the most that a serving task's own load is expected to be from
-// now on for a while.
+// expected returns the maximum of a serving task's base load now and after span.
 func (r *run) expected(now, span cottonlanding.Millis) float64 {
 	load := &r.task.stage.load
 	return max(load.forecastAt(now), load.forecastAt(now+span))
 }
 
-// share returns the part of the worker that a filling task uses at full pace.
+// share returns the fraction of the worker that a filling task uses at full pace.
 func (r *run) share(capacity cottonlanding.Millicores) float64 {
 	return float64(r.step.Resources.CPU) / float64(capacity)
 }
@@ -243,8 +238,8 @@
 	return serving, filling
 }
 
-// sustainablePace returns the part of its pace that one more filling task could keep on a
-// worker without pushing a serving task there over its aim.
+// sustainablePace returns the fraction of its full pace at which one more filling task could run on a worker without
+// pushing a serving task there over its goal.
 func (c *Cell) sustainablePace(w *worker, step cottonlanding.Step, now cottonlanding.Millis) float64 {
 	if !c.mayRunTrial(w, step, now) {
 		return 0
@@ -259,8 +254,8 @@
 	return fraction
 }
 
-// withinInterferenceBudget reports whether a filling task would hardly disturb the serving tasks
-// of a worker, of which there are some.
+// withinInterferenceBudget reports whether a worker has serving tasks and a filling task would hardly interfere with
+// any of them.
 func (c *Cell) withinInterferenceBudget(w *worker, step cottonlanding.Step, now cottonlanding.Millis) bool {
 	slacks := c.room(w, now).slacks
 	for _, s := range slacks {
--- a/internal/workflow/planner/interference_test.go
+++ b/internal/workflow/planner/interference_test.go
@@ -18,12 +18,12 @@
 	tailBase      = 25.0
 	target        = 150 * cottonlanding.Millis(1)
 	maxOverTarget = 4 * cottonlanding.Second
-	// fillDuration is how long a filling task takes; it outlasts the tests.
+	// fillDuration is how long a filling task runs, which is longer than the tests.
 	fillDuration = 200 * cottonlanding.Second
 )
 
-// sharedWorker plays one worker on which filling tasks disturb serving ones, as was seen
-// on the users' platform: tail = base / (1 - load - weights x use).
+// sharedWorker simulates one worker on which filling tasks interfere with serving ones as on the real platform:
+// tail = base / (1 - load - weights x use).
 type sharedWorker struct {
 	t                 *testing.T
 	now               cottonlanding.Millis
@@ -35,11 +35,11 @@
 	images            map[cottonlanding.WorkflowID]cottonlanding.Image
 	runs              map[cottonlanding.RunKey]int     // pace in percent
 	done              map[cottonlanding.RunKey]float64 // progress in percent
-	overTarget        cottonlanding.Millis             // for how long the serving task is over its target
+	overTarget        cottonlanding.Millis             // how long the serving task has been over its target
 	longestOverTarget cottonlanding.Millis
 	worked            map[cottonlanding.Image]float64 // percent-milliseconds
 	policy            planner.Policy
-	// load is how busy the serving task is by its own users at an instant.
+	// load is the utilization of the serving task by its own users at a given time.
 	load func(cottonlanding.Millis) float64
 }
 
@@ -58,7 +58,7 @@
 	return s
 }
 
-// takeOver makes a new owner from the committed rows.
+// takeOver starts a new owner from the committed rows.
 func (s *sharedWorker) takeOver() {
 	s.epoch++
 	s.cell = planner.New(planner.Setup{Partition: partition, Epoch: s.epoch, BeforeUntil: s.now}, timing, s.policy, discardLog())
@@ -98,7 +98,7 @@
 	s.cell.Submit(cottonlanding.Workflow{ID: id, Queue: queue, Steps: []cottonlanding.Step{step}}, s.now, func(error) {})
 }
 
-// swinging is a load that swings, as was seen on the users' platform.
+// swinging is a load with the swings seen on the real platform.
 func swinging(now cottonlanding.Millis) float64 {
 	return 0.48 + 0.2*math.Sin(2*math.Pi*float64(now)/20_000)
 }
@@ -176,6 +176,8 @@
 	}
 }
 
+// TestHeavyFillersAreSlowed guards against heavy filling tasks that keep a serving task over its target, or that are
+// paused although there is room for part of their work.
 func TestHeavyFillersAreSlowed(t *testing.T) {
 	s := newSharedWorker(t, map[cottonlanding.Image]float64{"heavy": 3})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
@@ -185,10 +187,11 @@
 				cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Image: "heavy", Fills: true, Checkpoints: true})
 		}
 	})
-	require.Less(t, s.longestOverTarget, maxOverTarget*3/4, "over the target for too long")
-	require.Positive(t, s.worked["heavy"], "what is left is used")
+	require.Less(t, s.longestOverTarget, maxOverTarget*3/4, "time over the target")
+	require.Positive(t, s.worked["heavy"], "remaining room must be used")
 }
 
+// TestLightFillersRunAtFullPace guards against slowing filling tasks that hardly interfere.
 func TestLightFillersRunAtFullPace(t *testing.T) {
 	s := newSharedWorker(t, map[cottonlanding.Image]float64{"light": 0.1})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
@@ -205,6 +208,8 @@
 	require.Less(t, s.longestOverTarget, maxOverTarget)
 }
 
+// TestStarvedWorkflowRuns guards against a filling workflow of a heavy image that starts no task although one fits on the
+// worker.
 func TestStarvedWorkflowRuns(t *testing.T) {
 	s := newSharedWorker(t, map[cottonlanding.Image]float64{"heavy": 8})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 4, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
@@ -213,13 +218,12 @@
 	s.submit("f", "Fill", cottonlanding.Step{Tasks: 5, Resources: cottonlanding.Resources{CPU: 7000}, Estimate: 3000, Image: "heavy", Fills: true, Checkpoints: true})
 	for len(s.runs) < 5 {
 		s.step(true)
-		require.Less(t, s.now-began, 3*cottonlanding.Second, "nothing runs although there is room")
+		require.Less(t, s.now-began, 3*cottonlanding.Second, "time until a task starts although there is room")
 	}
 }
 
-// TestPausedFillersCountAsWorking checks that filling tasks which stand still count
-// as if they worked when others are placed: they go on once the load falls, and all
-// of them at part of their speed are late.
+// TestPausedFillersCountAsWorking guards against placing more filling tasks on a worker with paused ones than can work
+// at once: the paused ones resume when the load falls, and all of them would then be late at a part of their speed.
 func TestPausedFillersCountAsWorking(t *testing.T) {
 	s := newSharedWorker(t, map[cottonlanding.Image]float64{"heavy": 4, "light": 0.1})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
@@ -228,7 +232,7 @@
 		fill.Image = "heavy"
 		if number%20 == 19 && number < 120 {
 			step := fill
-			step.Tasks = 1 // with nothing running, each is placed once it has waited for long
+			step.Tasks = 1 // with nothing running, each is placed after a long wait
 			s.submit(cottonlanding.WorkflowID(fmt.Sprintf("h%d", number)), "Fill", step)
 		}
 		if number == 200 {
@@ -247,8 +251,8 @@
 	require.LessOrEqual(t, len(s.runs)-1, fit, "more filling tasks than there are processors for")
 }
 
-// playUnknownImages plays a worker to which filling tasks of eight images come that nobody knows
-// and that disturb hardly, and returns how much they worked within a span.
+// playUnknownImages plays a worker with filling tasks of eight unknown images that hardly interfere, and returns their
+// progress within a span.
 func playUnknownImages(t *testing.T, decisions selector.Names, span cottonlanding.Millis) float64 {
 	weights := make(map[cottonlanding.Image]float64)
 	for number := range 8 {
@@ -274,8 +278,8 @@
 	return sum
 }
 
-// TestUnknownImagesAreTried plays the load of many filling images that nobody knows yet:
-// trials find out soon that they may work, where the baseline lets them stand still.
+// TestUnknownImagesAreTried guards against filling tasks of many unknown images being paused, as under the cautious
+// policy, instead of being tried.
 func TestUnknownImagesAreTried(t *testing.T) {
 	const span = 20 * cottonlanding.Second
 	tried := playUnknownImages(t, nil, span)
@@ -284,9 +288,8 @@
 	require.Greater(t, tried, 0.7*8*100*float64(span), "most of what eight tasks can do")
 }
 
-// TestRisingLoadIsAttributedToServing plays serving tasks whose load builds up in three seconds, and
-// filling tasks of several images beside them that come and go meanwhile: the rise must not
-// be taken for their doing.
+// TestRisingLoadIsAttributedToServing guards against attributing the rise of a serving step's load, which builds up in
+// three seconds, to the filling tasks of several images that come and go meanwhile.
 func TestRisingLoadIsAttributedToServing(t *testing.T) {
 	images := []cottonlanding.Image{"l0", "l1", "l2", "l3"}
 	weights := make(map[cottonlanding.Image]float64)
@@ -314,7 +317,7 @@
 	}
 }
 
-// learnt returns the weight of a pair and its doubt as last written down for a successor.
+// learnt returns the weight of a pair and its standard error as last stored for a successor.
 func (s *sharedWorker) learnt(serving, filling cottonlanding.Image) (weight, doubt float64) {
 	var row struct {
 		Serving []struct {
@@ -352,8 +355,8 @@
 	return out
 }
 
-// TestNewOwnerSetsPaces checks that a filling task which the owner before had
-// stopped from working goes on soon, and isn't taken for one that stands still.
+// TestNewOwnerSetsPaces guards against a new owner that takes a filling task which its predecessor had paused for one
+// that is stuck, or leaves it paused.
 func TestNewOwnerSetsPaces(t *testing.T) {
 	s := newSharedWorker(t, map[cottonlanding.Image]float64{"light": 0.1})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
@@ -362,7 +365,7 @@
 	require.Equal(t, []int{100, 100, 100, 100}, s.paces("fill"))
 	for key := range s.runs {
 		if key.Task.Workflow == "fill" {
-			s.runs[key] = 0 // the last thing that the owner ordered
+			s.runs[key] = 0 // the owner's last order
 		}
 	}
 	s.takeOver()
@@ -370,8 +373,8 @@
 	require.Equal(t, []int{100, 100, 100, 100}, s.paces("fill"))
 }
 
-// TestNewOwnerInheritsWeights checks that a new owner lets light filling tasks
-// work from the start, and keeps heavy ones slow.
+// TestNewOwnerInheritsWeights guards against a new owner that pauses light filling tasks, or lets heavy ones run fast,
+// until it has learnt their weights anew.
 func TestNewOwnerInheritsWeights(t *testing.T) {
 	s := newSharedWorker(t, map[cottonlanding.Image]float64{"light": 0.1, "heavy": 6})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
@@ -387,6 +390,6 @@
 	before := s.worked["light"]
 	const span = 10 * cottonlanding.Second
 	s.play(span, func(int) {})
-	require.InDelta(t, 200*float64(span), s.worked["light"]-before, 10*float64(span), "light ones work at full pace")
+	require.InDelta(t, 200*float64(span), s.worked["light"]-before, 10*float64(span), "light tasks must work at full pace")
 	require.Less(t, s.longestOverTarget, maxOverTarget/2)
 }
--- a/internal/workflow/planner/lastingrestart_test.go
+++ b/internal/workflow/planner/lastingrestart_test.go
@@ -9,14 +9,14 @@
 )
 
 var (
-	seedCount    = flag.Int("again.seeds", 8, "how many random histories each test of lasting tasks that run again plays")
-	logHistories = flag.Bool("again.logs", false, "whether the owners' logs are written to standard error, with the instants of the history")
-	firstSeed    = flag.Int64("again.first", 1, "the seed of the first")
+	seedCount    = flag.Int("again.seeds", 8, "number of random histories for each test of lasting tasks that run again")
+	logHistories = flag.Bool("again.logs", false, "write the owners' logs to standard error, with the times of the history")
+	firstSeed    = flag.Int64("again.first", 1, "seed of the first history")
 )
 
-// TestLastingTasksRunAgainInTime plays lasting tasks beside others in little room, or much, of one cell, while workers
-// leave, crash, fall silent and refuse orders and owners follow each other. A task that waits, tied to a worker that
-// won't run it or to the bound of a lease, longer than the users' rule allows, was the incident.
+// TestLastingTasksRunAgainInTime plays random histories of one cell with lasting and other tasks, while workers leave,
+// crash, fall silent and refuse orders and owners change. It guards against a lasting task that stays down for longer
+// than the limit, tied to a worker that won't run it or to the bound of a lease.
 //
 //	go test ./internal/workflow/planner -run TestLastingTasksRunAgainInTime -args -again.seeds 1000
 func TestLastingTasksRunAgainInTime(t *testing.T) {
@@ -24,7 +24,7 @@
 	playHistories(t, func(t *testing.T, seed int64) *rerunHistory { return newRerunHistory(t, seed, 1) })
 }
 
-// playHistories plays histories, one for each seed.
+// playHistories plays one history for each seed.
 func playHistories(t *testing.T, newHistory func(*testing.T, int64) *rerunHistory) {
 	longest, crashViolations := cottonlanding.Millis(0), 0
 	for at := range *seedCount {
@@ -38,5 +38,5 @@
 			}
 		})
 	}
-	t.Logf("the longest time from the end of a run to the next was %d; %d culprits were started too often", longest, crashViolations)
+	t.Logf("longest time from the end of a run to the next: %d; faulty tasks that were started too often: %d", longest, crashViolations)
 }
--- a/internal/workflow/planner/lastingrestartcells_test.go
+++ b/internal/workflow/planner/lastingrestartcells_test.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// cellCount is how many cells the histories of several have.
+	// cellCount is the number of cells in histories of several.
 	cellCount = 3
-	// delegateInterval and askPause are how often owners look for tasks to delegate, and ask about those that were.
+	// delegateInterval and askInterval are how often owners delegate tasks, and send requests about delegated ones.
 	delegateInterval = 300 * cottonlanding.Millis(1)
 	askInterval      = 250 * cottonlanding.Millis(1)
-	// reservationTTL is how long a cell counts what it has given to another one as taken there.
+	// reservationTTL is how long a cell counts the room that it has assigned in another one as taken.
 	reservationTTL = 600 * cottonlanding.Millis(1)
 )
 
-// roomReservation is room of a cell that a task was given.
+// roomReservation is room of another cell that was assigned to a task.
 type roomReservation struct {
 	cell int
 	cpu  cottonlanding.Millicores
 	at   cottonlanding.Millis
 }
 
-// delegationTraffic plays what passes between the cells of a history.
+// delegationTraffic simulates the exchange between the cells of a history.
 type delegationTraffic struct {
 	*rerunHistory
 	stamps map[[2]int]planner.DelegationStamp
-	// epochs holds the owners to which the stamps were told.
+	// epochs holds the owners that have received the stamps.
 	epochs map[int]cottonlanding.Epoch
 	given  []roomReservation
 	late   []sentRequest
@@ -53,7 +53,7 @@
 	d.faultyUntil, p.lastFaultAt = d.now()+span, d.now()
 }
 
-// exchange has owners delegate, and ask about what they have delegated.
+// exchange has owners delegate tasks and send requests about delegated ones.
 func (d *delegationTraffic) exchange() {
 	d.deliverLate()
 	for cell, p := range d.cells {
@@ -70,7 +70,7 @@
 	}
 }
 
-// forgetStamps has a new owner begin without what the one before was told.
+// forgetStamps clears the stamps of a previous owner.
 func (d *delegationTraffic) forgetStamps(cell int, epoch cottonlanding.Epoch) {
 	if d.epochs[cell] == epoch {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// delegate has a cell delegate what finds a hole elsewhere.
+// delegate has a cell delegate the tasks that fit on a worker of another cell.
 func (d *delegationTraffic) delegate(cell int) {
 	p := d.cells[cell]
 	d.given = slices.DeleteFunc(d.given, func(g roomReservation) bool { return p.now-g.at >= reservationTTL })
@@ -100,7 +100,7 @@
 	}
 }
 
-// holes returns what single workers of the other cells have free, less what they were given just now.
+// holes returns the free room of single workers in the other cells, less what was assigned there just now.
 func (d *delegationTraffic) holes(cell int) map[int][]cottonlanding.Millicores {
 	out := make(map[int][]cottonlanding.Millicores)
 	for to, p := range d.cells {
@@ -119,7 +119,7 @@
 	return out
 }
 
-// ask asks the cells that run tasks of one. An owner's first answer shows its instant, so that it is asked again at once.
+// ask sends the requests of one cell. An owner's first response brings its stamp, so a second request follows at once.
 func (d *delegationTraffic) ask(cell int) {
 	asked := d.cells[cell].cell.Delegations()
 	for _, to := range slices.Sorted(maps.Keys(asked)) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// askOne asks one question, and reports whether its answer came.
+// askOne sends one request, and reports whether its response arrived.
 func (d *delegationTraffic) askOne(at [2]int, request planner.DelegationRequest) bool {
 	delegator, delegate := d.cells[at[0]], d.cells[at[1]]
 	fault := ""
@@ -158,7 +158,7 @@
 	return true
 }
 
-// deliverLate has questions arrive that were on their way, once nothing fails any more or by chance.
+// deliverLate delivers delayed requests, by chance while calls fail, all of them afterwards.
 func (d *delegationTraffic) deliverLate() {
 	left := d.late[:0]
 	for _, sent := range d.late {
@@ -173,9 +173,9 @@
 	d.late = left
 }
 
-// TestLastingTasksRunAgainInOtherCells is TestLastingTasksRunAgainInTime for several cells with room of their own: a task
-// that waits, or bounces between cells, for longer than the users' rule allows while another cell has room was
-// the incident.
+// TestLastingTasksRunAgainInOtherCells is TestLastingTasksRunAgainInTime for several cells with room of their own. It
+// guards against a lasting task that waits, or moves between cells, for longer than the limit while another cell has
+// room.
 //
 //	go test ./internal/workflow/planner -run TestLastingTasksRunAgainInOtherCells -args -again.seeds 1000
 func TestLastingTasksRunAgainInOtherCells(t *testing.T) {
--- a/internal/workflow/planner/learnt.go
+++ b/internal/workflow/planner/learnt.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// saveLearntInterval is how often what was learnt of images is written down. A pair is
-	// known after some three seconds, so that a successor lacks little.
+	// saveLearntInterval is how often what was learnt is stored. A pair takes some three seconds to learn, so a
+	// successor lacks little.
 	saveLearntInterval = 3 * cottonlanding.Second
 	// maxLearntBytes bounds the row, in bytes, well below the 64 KiB that the table takes.
 	maxLearntBytes = 32 << 10
-	// minInheritedStandardError is the least doubt of a weight that a predecessor learnt: the
-	// covariances between weights aren't written down.
+	// minInheritedStandardError is the smallest standard error of a weight from a predecessor: the covariances
+	// between weights aren't stored.
 	minInheritedStandardError = 0.15
 )
 
-// learntRow is what an owner has learnt of how images disturb each other, for
-// its successor.
+// learntRow is the stored form of what an owner has learnt of how images interfere, for its successor and for other
+// cells.
 type learntRow struct {
 	Serving []servingRow
 }
 
 type servingRow struct {
 	Image cottonlanding.Image
-	// Base is the shortest tail seen.
+	// Base is the shortest tail latency measured.
 	Base  cottonlanding.Millis
 	Pairs []pairRow
 }
 
-// pairRow holds what a filling image does to a serving one. Its names are short: a
+// pairRow is the weight of a filling image for a serving one, with its standard error (Doubt). Its keys are short as a
 // deployment has hundreds of pairs.
 type pairRow struct {
 	Image  cottonlanding.Image `json:"I"`
@@ -47,7 +47,7 @@
 	return partition.Key("Learnt/Images")
 }
 
-// row returns what was learnt, in an order that repeats.
+// row returns what was learnt, in a stable order.
 func (p *interference) row() learntRow {
 	var out learntRow
 	for image, known := range p.weights {
@@ -62,10 +62,10 @@
 	return out
 }
 
-// rounded keeps two digits behind the point, which is finer than any doubt.
+// rounded rounds to two decimals, which is finer than any standard error.
 func rounded(value float64) float64 { return math.Round(value*100) / 100 }
 
-// restore takes in what a predecessor has learnt.
+// restore loads what a predecessor has learnt.
 func (p *interference) restore(row learntRow) {
 	for _, serving := range row.Serving {
 		known := newWeightEstimate()
@@ -82,9 +82,9 @@
 	}
 }
 
-// LoadLearnt takes in the row that a predecessor left. Without it all is learnt anew.
+// LoadLearnt loads the row of a predecessor. Without it everything is learnt anew.
 func (c *Cell) LoadLearnt(row cottonlanding.Row) error {
-	c.learntVersion = row.Version // also of a row that can't be read: it is replaced
+	c.learntVersion = row.Version // also of an unreadable row, which is overwritten
 	var learnt learntRow
 	if err := json.Unmarshal(row.Value, &learnt); err != nil {
 		return fmt.Errorf("row %s: %w", row.Key, err)
@@ -93,12 +93,12 @@
 	return nil
 }
 
-// learntDue reports whether what was learnt is to be written down again.
+// learntDue reports whether what was learnt is to be stored again.
 func (c *Cell) learntDue(now cottonlanding.Millis) bool {
 	return now-c.learntAt >= saveLearntInterval && len(c.interference.weights) > 0
 }
 
-// planLearnt adds what was learnt to a plan, from time to time.
+// planLearnt adds what was learnt to a plan every saveLearntInterval.
 func (c *Cell) planLearnt(plan *Plan, now cottonlanding.Millis) {
 	if !c.learntDue(now) {
 		return
@@ -106,7 +106,7 @@
 	c.learntAt = now
 	value := encode(c.interference.row())
 	if len(value) > maxLearntBytes {
-		c.log.Warn("too much was learnt of images to write it down", "Bytes", len(value), "Most", maxLearntBytes)
+		c.log.Warn("what was learnt of images exceeds the size limit of its row and is not stored", "Bytes", len(value), "Most", maxLearntBytes)
 		return
 	}
 	plan.learnt = true
--- a/internal/workflow/planner/mix.go
+++ b/internal/workflow/planner/mix.go
@@ -7,11 +7,11 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// maxToleratedCountsAge is how old the count of filling images that serving ones bear may be: what is
-// known of pairs changes within seconds.
+// maxToleratedCountsAge is how long the counts of tolerated filling images are cached: what is known of pairs changes
+// within seconds.
 const maxToleratedCountsAge = cottonlanding.Second
 
-// narrow returns the candidates on which a serving task may join others of other images.
+// narrow returns the candidates on which a serving task may join serving tasks of other images.
 func (c *Cell) narrow(t *task, candidates []*worker, now cottonlanding.Millis) []*worker {
 	if len(candidates) < 2 {
 		return candidates
@@ -27,7 +27,7 @@
 	return out
 }
 
-// mixView returns what becomes of a worker on which some images serve if another joins them.
+// mixView returns how many filling images a worker's serving images tolerate before and after another one joins them.
 func (p *interference) mixView(slacks []imageSlack, joining cottonlanding.Image, now cottonlanding.Millis) cottonlanding.MixView {
 	images := make([]cottonlanding.Image, 0, len(slacks)+1)
 	for _, s := range slacks {
@@ -41,7 +41,7 @@
 	return view
 }
 
-// countTolerated counts the filling images that hardly disturb any of the serving ones.
+// countTolerated counts the filling images that hardly interfere with any of the serving ones.
 func (p *interference) countTolerated(serving []cottonlanding.Image, now cottonlanding.Millis) int {
 	if p.toleratedCounts == nil || now-p.toleratedCountsAt > maxToleratedCountsAge {
 		p.toleratedCounts, p.toleratedCountsAt = make(map[string]int), now
@@ -70,7 +70,7 @@
 	return key.String()
 }
 
-// fillingImages returns the filling images that were seen beside any serving one.
+// fillingImages returns the filling images that were measured beside any serving one, here or in other cells.
 func (p *interference) fillingImages() map[cottonlanding.Image]bool {
 	out := make(map[cottonlanding.Image]bool)
 	for _, known := range p.weights {
--- a/internal/workflow/planner/multicell_test.go
+++ b/internal/workflow/planner/multicell_test.go
@@ -13,15 +13,14 @@
 )
 
 const (
-	// cancelledStartTimeout is how long after a cancellation was acknowledged a task may still start. Source: the
-	// users' rule on cancelled jobs.
+	// cancelledStartTimeout is how long after the acknowledgement of a cancellation a task may still start, by the rule on
+	// cancelled jobs.
 	cancelledStartTimeout = 3 * cottonlanding.Second
-	// otherCellRestartTimeout is how soon a lasting task must run where another cell has room. Source: the users' rule
-	// on lost tasks.
+	// otherCellRestartTimeout is how soon a lost lasting task must run if another cell has room, by the rule on lost tasks.
 	otherCellRestartTimeout = 9 * cottonlanding.Second
 )
 
-// question is one that a keeper has sent, answer one that a guest cell has.
+// sentRequest is a delayed request of a delegator, sentResponse a delayed response of a delegate cell.
 type sentRequest struct {
 	to      int
 	request planner.DelegationRequest
@@ -32,8 +31,7 @@
 	response        planner.DelegationResponse
 }
 
-// multiCell plays several cells with one clock and one set of workers, each cell with rows and owners of
-// its own.
+// multiCell simulates several cells with one clock and one set of workers, each with rows and owners of its own.
 type multiCell struct {
 	t       require.TestingT
 	cells   []*world
@@ -42,10 +40,10 @@
 	overdue []sentResponse
 	// cancelledAt is when the cancellation of a workflow was acknowledged.
 	cancelledAt map[cottonlanding.WorkflowID]cottonlanding.Millis
-	// cancelling holds the workflows whose cancellation was asked for.
+	// cancelling holds the workflows whose cancellation was requested.
 	cancelling map[cottonlanding.WorkflowID]bool
 	violations []string
-	// choose chooses where the tasks of a cell go that go well.
+	// choose returns a function that chooses the cell for each task that a cell may delegate.
 	choose func(cell int) func(planner.DelegableTask) (int, bool)
 }
 
@@ -69,7 +67,7 @@
 	return n
 }
 
-// checkStart holds a start against the cancellation of its workflow.
+// checkStart records a violation if a task starts too long after the cancellation of its workflow.
 func (n *multiCell) checkStart(order planner.Order) {
 	at, cancelled := n.cancelledAt[order.Start.Task.Workflow]
 	if cancelled && n.cells[0].now-at > cancelledStartTimeout {
@@ -83,7 +81,7 @@
 	}
 }
 
-// syncClocks has all cells follow the one that is ahead.
+// syncClocks advances all cells to the latest of their clocks.
 func (n *multiCell) syncClocks() {
 	latest := cottonlanding.Millis(0)
 	for _, w := range n.cells {
@@ -104,7 +102,7 @@
 	})
 }
 
-// takeOver gives a cell its next owner; what was on its way to the one before gets lost.
+// takeOver gives a cell its next owner; responses in flight to the previous one are lost.
 func (n *multiCell) takeOver(cell int) {
 	n.cells[cell].takeOver()
 	for to := range n.cells {
@@ -113,8 +111,8 @@
 	n.overdue = slices.DeleteFunc(n.overdue, func(a sentResponse) bool { return a.delegator == cell })
 }
 
-// delegate has a cell delegate what it may to a cell that is chosen for each task. No cell is a home, so that
-// workflows of which nothing has begun go this way as well.
+// delegate has a cell delegate what it may, each task to a chosen cell. No cell counts as home, so that workflows that
+// have started nothing are delegated as well.
 func (n *multiCell) delegate(cell int, choose func(planner.DelegableTask) (int, bool)) {
 	w := n.cells[cell]
 	for _, task := range w.cell.DelegableTasks(100, func(cottonlanding.WorkflowID) bool { return false }, w.now) {
@@ -124,7 +122,7 @@
 	}
 }
 
-// chooseByRoom chooses a cell of which a worker has room, as hosts do.
+// chooseByRoom chooses a cell in which a worker has room, as hosts do.
 func (n *multiCell) chooseByRoom(cell int) func(planner.DelegableTask) (int, bool) {
 	return func(task planner.DelegableTask) (int, bool) {
 		for at, w := range n.cells {
@@ -138,7 +136,7 @@
 	}
 }
 
-// ask asks the cells that run tasks of one; fault decides what becomes of each question.
+// ask sends the requests of a cell; fault decides what happens to each.
 func (n *multiCell) ask(cell int, fault func() string) {
 	delegator := n.cells[cell]
 	asked := delegator.cell.Delegations()
@@ -162,7 +160,7 @@
 	}
 }
 
-// turn lets all go well for a while.
+// turn plays a turn without faults.
 func (n *multiCell) turn(span cottonlanding.Millis) {
 	n.wait(span)
 	for cell, w := range n.cells {
@@ -181,7 +179,7 @@
 	}
 }
 
-// notBegun counts the workflows of a cell that nobody has cancelled and of which no cell has begun a task.
+// notBegun counts the workflows of a cell that aren't cancelled and of which no cell has begun a task.
 func (n *multiCell) notBegun(cell int) int {
 	queueOf := make(map[cottonlanding.WorkflowID]cottonlanding.QueueName)
 	for id := range n.cells[cell].accepted {
@@ -192,7 +190,7 @@
 	return n.cells[cell].notBegun("Bulk", queueOf)
 }
 
-// deliverLate has everything arrive that was on its way.
+// deliverLate delivers all delayed requests and responses.
 func (n *multiCell) deliverLate() {
 	for _, sent := range n.late {
 		n.cells[sent.to].cell.HandleDelegationRequest(sent.request, n.cells[sent.to].now)
--- a/internal/workflow/planner/pace.go
+++ b/internal/workflow/planner/pace.go
@@ -8,33 +8,32 @@
 )
 
 const (
-	// fullPace is the pace of a run that nobody slowed, in percent.
+	// fullPace is the pace of an unthrottled run, in percent.
 	fullPace = 100
-	// unknownPace is that of a filling run whose last order of pace may not have
-	// arrived, or came from an owner before.
+	// unknownPace is the pace of a filling run whose last pace order may not have arrived, or came from a previous
+	// owner.
 	unknownPace = -1
-	// resendPaceAfter is when a pace is ordered once more after an order got no answer:
-	// workers were seen to carry out such orders up to twelve seconds later.
+	// resendPaceAfter is when a pace is ordered again after an order without an answer. Workers may carry out such an
+	// order up to twelve seconds later.
 	resendPaceAfter = 12500 * cottonlanding.Millis(1)
-	// minPaceChange is the least change of pace that is worth an order.
+	// minPaceChange is the smallest change of pace that is worth an order, in percentage points.
 	minPaceChange = 15
-	// minPace is the lowest pace above standing still.
+	// minPace is the lowest pace above zero, in percent.
 	minPace = 15
-	// maxPaceRise is the most by which a pace rises at a time, so that a rough figure
-	// does no harm before the next one.
+	// maxPaceRise is the largest rise of a pace at a time, in percentage points: it limits the harm of a rough
+	// measurement until the next one.
 	maxPaceRise = 40
-	// pausedTimeout is how long a filling task stands still before it is moved. A step ends
-	// with its last task: with a tenth of the tasks standing still, nearly each step of twenty
-	// has such a one, and a task takes two seconds. It outlasts a figure that was wrong, of
-	// half a second.
+	// pausedTimeout is how long a filling task is paused before it is moved. A step ends with its last task: if a
+	// tenth of all tasks are paused, most steps of twenty tasks contain one, and a task takes two seconds. The timeout
+	// is longer than a wrong measurement lasts, which is half a second.
 	pausedTimeout = 700 * cottonlanding.Millis(1)
-	// maxDiscardedPercent is the progress, in percent, up to which a run without checkpoints
-	// is thrown away for a better place.
+	// maxDiscardedPercent is the progress, in percent, up to which a run without checkpoints is discarded to be
+	// moved.
 	maxDiscardedPercent = 30
 )
 
-// controlPace sets the paces of the filling tasks on a worker so that the serving
-// tasks beside them stay below their aims. Those that disturb the least go first.
+// controlPace sets the paces of the filling tasks on a worker so that the serving tasks there stay below their
+// utilization goals. Filling tasks that interfere least are served first.
 func (c *Cell) controlPace(w *worker, now cottonlanding.Millis) {
 	serving, filling := w.servingAndFilling()
 	c.learnInterference(w, serving, filling, now)
@@ -64,8 +63,7 @@
 	}
 }
 
-// resendPace has the pace ordered once more when a late copy of an older order
-// may have changed it.
+// resendPace orders the pace again when a late copy of an older order may have changed it.
 func (r *run) resendPace(now cottonlanding.Millis) {
 	if r.resendPaceAt > 0 && now >= r.resendPaceAt {
 		r.pace, r.resendPaceAt = unknownPace, 0
@@ -73,14 +71,14 @@
 	}
 }
 
-// budget is how much busier filling tasks may make one serving task: heavy ones,
-// and light ones by themselves.
+// budget is by how much filling tasks may raise the utilization of one serving task: heavy limits those above
+// LightWeight, light the others.
 type budget struct {
 	heavy float64
 	light float64
 }
 
-// fraction returns the fraction of its use that the budget leaves to a filling task.
+// fraction returns the fraction of its full use that the budget leaves to a filling task.
 func (b budget) fraction(weight, share float64) float64 {
 	if weight > cottonlanding.LightWeight {
 		return max(b.heavy, 0) / (weight*share + minUsage)
@@ -88,7 +86,7 @@
 	return max(b.light, 0) / (weight*share + minUsage)
 }
 
-// consume takes what a filling task uses from the budget.
+// consume subtracts what a filling task uses from the budget.
 func (b *budget) consume(weight, share float64) {
 	b.heavy -= weight * share
 	b.light -= weight * share
@@ -102,8 +100,8 @@
 	return worst
 }
 
-// setPace changes the pace that a run should have, if that is worth an order, and
-// moves a run that has stood still for long.
+// setPace changes the target pace of a run if the change is worth an order, and moves a run that was paused for
+// pausedTimeout.
 func (c *Cell) setPace(f *run, pace int, now cottonlanding.Millis) {
 	pace = min(pace, f.paceGoal+maxPaceRise)
 	if pace < minPace {
@@ -123,7 +121,7 @@
 	}
 }
 
-// worthMoving reports whether a filling run could work elsewhere, and is cheap to move.
+// worthMoving reports whether a filling run would fit on another worker and loses little by moving.
 func (c *Cell) worthMoving(f *run, now cottonlanding.Millis) bool {
 	if !f.step.Checkpoints && f.percent > maxDiscardedPercent {
 		return false
--- a/internal/workflow/planner/referral.go
+++ b/internal/workflow/planner/referral.go
@@ -9,41 +9,40 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A workflow is handed in to its home, the cell that its id names. When that has much
-// less room than another cell, it refers the workflow there: it writes down where, and
-// says the same ever after, so that the workflow is in one cell however often, and by
-// whatever host, it is handed in.
+// A workflow is submitted to its home, the cell that its id names. If that has much less room than another cell, it
+// refers the workflow there: it stores the chosen cell and gives the same answer from then on, so that the workflow
+// is in one cell however often, and through whichever host, it is submitted.
 
 const referralPrefix = "Referrals/"
 
-// referralRow says which cell keeps a workflow.
+// referralRow is the stored form of a referral.
 type referralRow struct {
 	Cell cottonlanding.CellNumber
-	// Workflow is there until the other cell has surely taken it: see handover.go.
+	// Workflow is set until the other cell has accepted it: see handover.go.
 	Workflow *cottonlanding.Workflow `json:",omitempty"`
 }
 
-// referral is a workflow that another cell keeps.
+// referral records that another cell owns a workflow.
 type referral struct {
 	cell    cottonlanding.CellNumber
 	version cottonlanding.Version
-	// knownSince is when this owner came to know of it.
+	// knownSince is when this owner created, loaded or last renewed the referral.
 	knownSince cottonlanding.Millis
-	// forgotten says that the other cell has forgotten the workflow.
+	// forgotten says that the other cell no longer knows the workflow.
 	forgotten bool
-	// pendingWorkflow is a workflow that this cell had accepted, until the other one has it.
+	// pendingWorkflow is a workflow that this cell had accepted, until the other cell has accepted it.
 	pendingWorkflow *cottonlanding.Workflow
-	// deleteRows says that its rows here are to be deleted with the next write.
+	// deleteRows says that the workflow's rows in this cell are to be deleted with the next write.
 	deleteRows bool
 }
 
-// ReferralKey names the row that says where a workflow is kept.
+// ReferralKey returns the key of a workflow's referral.
 func ReferralKey(p cottonlanding.Partition, id cottonlanding.WorkflowID) cottonlanding.Key {
 	return p.Key(referralPrefix + string(id))
 }
 
-// DecodeReferral reads from a referral's row which cell keeps the workflow, and whether that
-// has yet to be told of it.
+// DecodeReferral returns from a referral's row the cell that owns the workflow, and whether that cell has yet to
+// accept it.
 func DecodeReferral(row cottonlanding.Row) (cell cottonlanding.CellNumber, pending bool, err error) {
 	var value referralRow
 	if err := json.Unmarshal(row.Value, &value); err != nil {
@@ -52,8 +51,8 @@
 	return value.Cell, value.Workflow != nil, nil
 }
 
-// Referral returns the cell that keeps a workflow, if it isn't this one. The referral may
-// still be to be committed: see Refer.
+// Referral returns the cell that owns a workflow, if it isn't this one. The referral may still be uncommitted:
+// see Refer.
 func (c *Cell) Referral(id cottonlanding.WorkflowID) (cottonlanding.CellNumber, bool) {
 	known, found := c.referrals[id]
 	if !found {
@@ -62,7 +61,7 @@
 	return known.cell, true
 }
 
-// CommittedReferral is Referral for those that are committed.
+// CommittedReferral is Referral for committed referrals of which the other cell has accepted the workflow.
 func (c *Cell) CommittedReferral(id cottonlanding.WorkflowID) (cottonlanding.CellNumber, bool) {
 	known, found := c.referrals[id]
 	if !found || known.version == 0 || known.forgotten || known.pendingWorkflow != nil {
@@ -71,8 +70,8 @@
 	return known.cell, true
 }
 
-// Refer has another cell keep a workflow that this one doesn't know, unless it was
-// referred before. done is called once that is committed or can't be.
+// Refer assigns an unknown workflow to another cell, unless it was referred before. done is called once that is
+// committed, or with an error once it can't be.
 func (c *Cell) Refer(id cottonlanding.WorkflowID, to cottonlanding.CellNumber, now cottonlanding.Millis, done func(error)) {
 	known, found := c.referrals[id]
 	switch {
@@ -82,11 +81,11 @@
 		c.counts.Referred++
 		c.log.Info("workflow referred", "Workflow", id, "To", to, "Epoch", c.setup.Epoch)
 	case known.forgotten && c.unplannedReferrals[id] != nil:
-		known.forgotten = false // it is handed in once more
+		known.forgotten = false // it is submitted once more
 		delete(c.unplannedReferrals, id)
 		done(nil)
 	case known.forgotten:
-		done(fmt.Errorf("the referral of workflow %s is being forgotten: %w", id, cottonlanding.ErrUnavailable))
+		done(fmt.Errorf("the referral of workflow %s is being removed: %w", id, cottonlanding.ErrUnavailable))
 	case known.version > 0:
 		done(nil)
 	case c.unplannedReferrals[id] != nil:
@@ -96,7 +95,7 @@
 	}
 }
 
-// planReferrals adds referrals to a plan, as many as fit.
+// planReferrals adds the unplanned referrals to a plan, as many as fit.
 func (c *Cell) planReferrals(plan *Plan) {
 	for _, id := range slices.Sorted(maps.Keys(c.unplannedReferrals)) {
 		if !plan.hasRoom(maxReferralWrites) {
@@ -109,7 +108,7 @@
 	}
 }
 
-// maxReferralWrites is the most rows that one referral takes.
+// maxReferralWrites is the largest number of rows that one referral writes.
 const maxReferralWrites = 3
 
 func (c *Cell) referralWrites(id cottonlanding.WorkflowID) []cottonlanding.Write {
@@ -130,7 +129,7 @@
 	}
 }
 
-// recordCommittedReferrals takes in that referrals were committed.
+// recordCommittedReferrals records that referrals were committed.
 func (c *Cell) recordCommittedReferrals(ids []cottonlanding.WorkflowID, version cottonlanding.Version) {
 	for _, id := range ids {
 		if c.referrals[id].forgotten {
@@ -141,8 +140,8 @@
 	}
 }
 
-// OldReferrals returns up to a number of workflows that were referred so long ago that the
-// other cell may have forgotten them, with those cells.
+// OldReferrals returns up to most workflows whose referrals are older than the retention of final workflows, so that
+// the other cells, which it returns with them, may no longer know them.
 func (c *Cell) OldReferrals(most int, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	out := make(map[cottonlanding.WorkflowID]cottonlanding.CellNumber)
 	for id, known := range c.referrals {
@@ -153,15 +152,14 @@
 	return out
 }
 
-// RenewReferral has a referral looked at again after the time for which final workflows are
-// kept: the other cell still knows the workflow.
+// RenewReferral keeps a referral for another retention period, as the other cell still knows the workflow.
 func (c *Cell) RenewReferral(id cottonlanding.WorkflowID, now cottonlanding.Millis) {
 	if known := c.referrals[id]; known != nil {
 		known.knownSince = now
 	}
 }
 
-// ForgetReferral removes a referral whose workflow the other cell has forgotten.
+// ForgetReferral removes a referral whose workflow the other cell no longer knows.
 func (c *Cell) ForgetReferral(id cottonlanding.WorkflowID) {
 	known := c.referrals[id]
 	if known == nil || known.version == 0 || known.forgotten {
@@ -171,7 +169,7 @@
 	c.unplannedReferrals[id] = []func(error){}
 }
 
-// LoadReferrals takes in the referrals of owners before.
+// LoadReferrals loads the referrals of previous owners.
 func (c *Cell) LoadReferrals(rows []cottonlanding.Row, now cottonlanding.Millis) error {
 	for _, row := range rows {
 		var value referralRow
--- a/internal/workflow/planner/referral_test.go
+++ b/internal/workflow/planner/referral_test.go
@@ -12,16 +12,16 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// referringCell plays a cell that refers workflows, its owners and its table.
+// referringCell simulates a cell that refers workflows, with its owners and its table.
 type referringCell struct {
 	t       *rapid.T
 	now     cottonlanding.Millis
 	cell    *planner.Cell
 	rows    map[cottonlanding.Key]cottonlanding.Row
 	version cottonlanding.Version
-	// confirmed is where callers were confirmed that a workflow is kept.
+	// confirmed holds the cell that callers were told for each workflow.
 	confirmed map[cottonlanding.WorkflowID]cottonlanding.CellNumber
-	// forgotten are those that the other cell has forgotten.
+	// forgotten holds the workflows that the other cell has forgotten.
 	forgotten []cottonlanding.WorkflowID
 }
 
@@ -37,7 +37,7 @@
 	require.NoError(h.t, h.cell.LoadReferrals(rows, h.now))
 }
 
-// refer hands a workflow in. The cell that is to keep it may be another one each time.
+// refer submits a workflow. The cell that is to own it may differ each time.
 func (h *referringCell) refer(id cottonlanding.WorkflowID, to cottonlanding.CellNumber) {
 	if known, found := h.cell.Referral(id); found {
 		to = known
@@ -54,8 +54,7 @@
 	})
 }
 
-// commit makes a plan and applies it or, if it is lost, only maybe; an owner that isn't
-// sure of its commit ends.
+// commit makes a plan and applies it, or maybe not if the answer is lost; then the owner ends.
 func (h *referringCell) commit(lost, applied bool) {
 	plan := h.cell.Plan(h.now)
 	if plan == nil {
@@ -78,9 +77,8 @@
 	h.cell.Committed(plan, h.version)
 }
 
-// TestReferralsAreStable refers workflows again and again, with owners that end before, within
-// and after their commits: a workflow that somebody was told of is kept in one cell until
-// that has forgotten it, and only then forgotten here.
+// TestReferralsAreStable refers workflows repeatedly, with owners that end before, during and after their commits. It
+// guards against a referred workflow that is in two cells, or is forgotten while the other cell still knows it.
 func TestReferralsAreStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &referringCell{t: t, now: 1000, rows: make(map[cottonlanding.Key]cottonlanding.Row), confirmed: make(map[cottonlanding.WorkflowID]cottonlanding.CellNumber)}
--- a/internal/workflow/planner/rerunhistory_test.go
+++ b/internal/workflow/planner/rerunhistory_test.go
@@ -15,59 +15,59 @@
 )
 
 const (
-	// singleCellWorkers is how many workers a single cell has at first, multiCellWorkers each of several.
+	// singleCellWorkers is the initial number of workers of a single cell, multiCellWorkers of each of several.
 	singleCellWorkers, multiCellWorkers = 7, 4
-	// phases is how often trouble and calm follow each other in a history.
+	// phases is the number of fault phases in a history, each followed by a recovery phase.
 	phases = 5
-	// maxFaultPhase is how long a phase of trouble lasts at most; calmSpan is how long calm lasts, enough for whatever is
-	// down to run again by the rule.
+	// maxFaultPhase is the maximum duration of a fault phase; recoverySpan is that of a recovery phase, long enough for
+	// every interrupted task to run again by the rule.
 	maxFaultPhase = 12 * cottonlanding.Second
 	recoverySpan  = 13 * cottonlanding.Second
-	// maxEvents is how many events are told with a fault.
+	// maxEvents is the number of events reported with a violation.
 	maxEvents = 40
 	// maxOpen is how many workflows that end by themselves are open at a time.
 	maxOpen = 40
 )
 
-// plannedEvent is something that happens to a history at an instant.
+// plannedEvent is something that happens in a history at a given time.
 type plannedEvent struct {
 	at cottonlanding.Millis
 	do func()
 }
 
-// rerunHistory plays lasting tasks beside others in one cell or several with one set of workers, while workers, owners,
-// orders and the table fail in short dense phases with calm between them.
+// rerunHistory plays lasting tasks beside others in one cell, or in several with one set of workers. Workers, owners,
+// orders and the table fail in short dense phases, with recovery phases between them.
 type rerunHistory struct {
 	t      require.TestingT
 	seed   int64
 	random *rand.Rand
 	cells  []*simulatedCell
 	rule   *downtimeRule
-	// tasks are the lasting tasks that have to run, steps the step of each workflow.
+	// tasks holds the lasting tasks that have to run, steps the step of each workflow.
 	tasks []lastingTask
 	homes map[cottonlanding.WorkflowID]int
 	steps map[cottonlanding.WorkflowID]cottonlanding.Step
-	// unreachable holds the workers that run on and can't be reached, gone those whose process has ended.
+	// unreachable holds the workers that run but can't be reached, gone those whose process has ended.
 	unreachable, gone map[cottonlanding.WorkerID]bool
 	plannedEvents     []plannedEvent
 	events            []string
 	near              disturbances
 	faultPhaseEnd     cottonlanding.Millis
-	// share is the part of the room, in hundredths, that lasting tasks take; odds is one in how many turns others are
-	// handed in, zero never.
+	// share is the percentage of the room that lasting tasks take; other workflows are submitted in one of odds turns,
+	// never if odds is zero.
 	share, odds int
-	// workers is how many a cell has at first.
+	// workers is the initial number of workers of a cell.
 	workers   int
 	submitted int
-	// kinds holds the troubles that this history has: few at a time show what many hide.
+	// kinds holds the kinds of faults in this history: a few at a time show what many hide.
 	kinds []func(*rerunHistory, *simulatedCell, cottonlanding.Millis)
-	// between plays what passes between cells.
+	// between simulates the exchange between cells.
 	between func()
-	// faults tells what was found.
+	// faults holds the violations found.
 	faults []string
-	// crashViolations tells of tasks that were started too often after they had crashed workers.
+	// crashViolations holds the faulty tasks that were started too often after they had crashed workers.
 	crashViolations []string
-	// reportedViolations counts the violations that were reported.
+	// reportedViolations counts the violations of the runner that were already reported.
 	reportedViolations int
 }
 
@@ -119,7 +119,7 @@
 	p.takeOver()
 }
 
-// logger writes what owners tell, with the history's instants.
+// logger returns a logger that writes the owners' lines with the times of the history.
 func (h *rerunHistory) logger() *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey {
@@ -143,7 +143,7 @@
 
 func (h *rerunHistory) now() cottonlanding.Millis { return h.cells[0].now }
 
-// recordEvent keeps an event for the message of a fault.
+// recordEvent keeps an event for the message of a violation.
 func (h *rerunHistory) recordEvent(format string, values ...any) {
 	h.events = append(h.events, fmt.Sprintf("%d ", h.now())+fmt.Sprintf(format, values...))
 	h.events = h.events[max(0, len(h.events)-maxEvents):]
@@ -159,7 +159,7 @@
 	return least + cottonlanding.Millis(h.random.Intn(int(most-least)+1))
 }
 
-// step lets a turn pass, and holds what is so then against the rules.
+// step plays one turn and then checks the rules.
 func (h *rerunHistory) step() {
 	for _, p := range h.cells {
 		p.now += turnSpan
@@ -184,7 +184,7 @@
 	violations := h.cells[0].runner.Violations()
 	for _, violation := range violations[h.reportedViolations:] {
 		if strings.HasSuffix(violation, "had crashed under it") {
-			h.crashViolations = append(h.crashViolations, violation) // that is another rule, on workers that live for long
+			h.crashViolations = append(h.crashViolations, violation) // covered by another rule, for long-lived workers
 			continue
 		}
 		h.report(violation)
@@ -195,12 +195,12 @@
 	}
 }
 
-// report keeps what was found, with what came before.
+// report keeps a violation with the events before it.
 func (h *rerunHistory) report(fault string) {
 	h.faults = append(h.faults, fmt.Sprintf("seed %d at %d: %s\n%s", h.seed, h.now(), fault, strings.Join(h.events, "\n")))
 }
 
-// describe tells where a task stands in each cell.
+// describe returns the state of a task in each cell.
 func (h *rerunHistory) describe(task lastingTask) string {
 	var out strings.Builder
 	for number, p := range h.cells {
@@ -209,7 +209,7 @@
 	return out.String()
 }
 
-// openTasks returns the lasting tasks whose workflows were accepted and go on.
+// openTasks returns the lasting tasks of accepted workflows that haven't ended.
 func (h *rerunHistory) openTasks() []lastingTask {
 	return slices.DeleteFunc(slices.Clone(h.tasks), func(task lastingTask) bool {
 		p := h.cells[h.homes[task.ref.Workflow]]
@@ -221,7 +221,7 @@
 	})
 }
 
-// recordDisturbances notes which trouble there is now.
+// recordDisturbances records whether there is a fault now, and whether an owner is unable to act.
 func (h *rerunHistory) recordDisturbances() {
 	trouble, unable := len(h.unreachable) > 0, false
 	for _, p := range h.cells {
@@ -249,14 +249,14 @@
 	return out
 }
 
-// usable reports whether a worker is sound and may be given tasks.
+// usable reports whether a worker is healthy and may be given tasks.
 func (h *rerunHistory) usable(p *simulatedCell, info cottonlanding.WorkerInfo) bool {
 	_, evacuated := p.evacuated[info.DataCentre]
 	faulty := h.now() < max(p.faultyUntil[info.ID], p.answersLostUntil[info.ID])
 	return info.State == cottonlanding.Live && !h.unreachable[info.ID] && !h.gone[info.ID] && !evacuated && !faulty && !p.hasDelayedOrders(info.ID)
 }
 
-// submitOthers hands in tasks that end, beside the lasting ones.
+// submitOthers submits tasks that end, beside the lasting ones.
 func (h *rerunHistory) submitOthers() {
 	for number, p := range h.cells {
 		if h.odds == 0 || !p.owned() || h.random.Intn(h.odds) > 0 || h.openOthers(p) >= maxOpen {
@@ -288,7 +288,7 @@
 	h.cells[cell].submit(id, queue, step)
 }
 
-// submitLasting hands in lasting tasks until they take their share of the room.
+// submitLasting submits lasting tasks until they take their share of the room.
 func (h *rerunHistory) submitLasting() {
 	for number, p := range h.cells {
 		room := len(p.workers) * 8000 * h.share / 100
@@ -330,7 +330,7 @@
 			h.injectFault()
 			h.play(h.span(0, 2*cottonlanding.Second))
 		}
-		h.recordEvent("calm")
+		h.recordEvent("recovery phase")
 		h.play(recoverySpan)
 		h.submitLasting()
 	}
--- a/internal/workflow/planner/sharedlearnt.go
+++ b/internal/workflow/planner/sharedlearnt.go
@@ -8,20 +8,19 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Each cell learns for itself how images disturb each other, and writes that down. What
-// other cells have written is joined with it where a weight is asked for, and nowhere
-// else: no cell passes on what another has learnt, so that each figure counts once.
+// Each cell learns for itself how images interfere, and stores that. What other cells have stored is combined with it
+// only where a weight is read: no cell passes on what another has learnt, so that each measurement counts once.
 
-// finding is what one cell has learnt of a pair beyond what is assumed of all pairs: its
-// precision, the inverse of its variance, and the weight times that.
+// finding is what one cell has learnt of a pair beyond the initial assumption: its precision, which is the inverse of
+// its variance, and its moment, the weight times the precision.
 type finding struct {
 	precision, moment float64
 }
 
-// initialPrecision is that of the weight which is assumed of all pairs.
+// initialPrecision is the precision of initialWeight.
 const initialPrecision = 1 / (initialStandardError * initialStandardError)
 
-// findingOf returns what is known of a pair beyond the assumption.
+// findingOf returns what is known of a pair beyond the initial assumption.
 func findingOf(pair cottonlanding.PairView) finding {
 	precision := 1/(pair.Doubt*pair.Doubt) - initialPrecision
 	if precision <= 0 {
@@ -30,7 +29,7 @@
 	return finding{precision, pair.Weight/(pair.Doubt*pair.Doubt) - initialWeight*initialPrecision}
 }
 
-// combine returns what is known of a pair with a finding of others.
+// combine returns what is known of a pair together with the findings of other cells.
 func combine(own cottonlanding.PairView, others finding) cottonlanding.PairView {
 	if others.precision == 0 {
 		return own
@@ -43,8 +42,8 @@
 // findings holds what other cells have learnt, by serving and filling image.
 type findings map[cottonlanding.Image]map[cottonlanding.Image]finding
 
-// add joins what one cell has written down. Its doubts are bounded as those of a
-// predecessor are.
+// add adds the findings in the row of one cell. Their standard errors have the lower bound that applies to rows of a
+// predecessor.
 func (f findings) add(row learntRow) {
 	for _, serving := range row.Serving {
 		if f[serving.Image] == nil {
@@ -58,8 +57,7 @@
 	}
 }
 
-// LoadLearntByOthers takes in the rows in which all other cells have written what they learnt,
-// in place of those taken in before.
+// LoadLearntByOthers replaces what is known from other cells by the contents of their rows.
 func (c *Cell) LoadLearntByOthers(rows []cottonlanding.Row) error {
 	remoteFindings := make(findings)
 	for _, row := range rows {
@@ -76,10 +74,10 @@
 	return nil
 }
 
-// HasImages reports whether what cells have learnt of images is of use here.
+// HasImages reports whether this cell has images for which the findings of other cells are of use.
 func (c *Cell) HasImages() bool { return c.hasImages }
 
-// recordBase keeps the shortest tail seen of an image.
+// recordBase records a tail latency if it is the shortest measured for an image.
 func (p *interference) recordBase(image cottonlanding.Image, tail cottonlanding.Millis) {
 	if base, known := p.base[image]; tail > 0 && (!known || tail < base) {
 		p.base[image] = tail
--- a/internal/workflow/planner/sharedlearnt_test.go
+++ b/internal/workflow/planner/sharedlearnt_test.go
@@ -9,9 +9,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestCellsShareWeights plays two cells whose serving and filling images are the
-// same, as in a deployment where no cell sees each pair often enough by itself: what one
-// has learnt the other goes by from the start, and one that shares nothing does not.
+// TestCellsShareWeights guards against cells that learn for themselves what another cell has learnt, as in a deployment
+// where no cell sees each pair often enough by itself: a cell that loads the other's row uses its weights from the
+// start, one that doesn't has to try the images.
 func TestCellsShareWeights(t *testing.T) {
 	weights := map[cottonlanding.Image]float64{"light": 0.1, "heavy": 6}
 	fill := cottonlanding.Step{Tasks: 2, Resources: cottonlanding.Resources{CPU: 3500}, Estimate: fillDuration, Fills: true, Checkpoints: true}
@@ -39,10 +39,11 @@
 		second.play(1200, func(int) {})
 		return second.worked["heavy"]
 	}
-	require.Positive(t, worked(false), "it is tried")
-	require.Zero(t, worked(true), "it is known")
+	require.Positive(t, worked(false), "without the other cell's row the images must be tried")
+	require.Zero(t, worked(true), "with the other cell's row the weight must be known")
 }
 
+// TestUnreadableFindingsAreRefused guards against ignoring a row of another cell that can't be decoded.
 func TestUnreadableFindingsAreRefused(t *testing.T) {
 	s := newSharedWorker(t, nil)
 	require.Error(t, s.cell.LoadLearntByOthers([]cottonlanding.Row{{Key: "Other:Learnt/Images", Value: []byte("{")}}))
--- a/internal/workflow/planner/successiveowners_test.go
+++ b/internal/workflow/planner/successiveowners_test.go
@@ -10,7 +10,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// lastingOnEach is a step with a lasting task for each worker.
+// lastingOnEach is a step with one lasting task for each worker.
 var lastingOnEach = cottonlanding.Step{Tasks: 4, Lasting: true, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}}
 
 // newLastingWorld returns a world with a lasting task on each worker.
@@ -23,7 +23,7 @@
 	return w
 }
 
-// killOwner has the owner be gone, and the next one come after a while.
+// killOwner ends the owner and starts the next one after a gap.
 func (w *world) killOwner(gap cottonlanding.Millis, watch func()) {
 	killed := w.now
 	for w.now < killed+gap {
@@ -33,7 +33,7 @@
 	w.takeOverFrom(killed + ownerGoneAfter)
 }
 
-// turnWithHangingPolls is a turn in which looks at a worker hang for a while before they fail.
+// turnWithHangingPolls plays a turn in which polls of one worker hang for lookTakes before they fail.
 func (w *world) turnWithHangingPolls(id cottonlanding.WorkerID, hangsSince *cottonlanding.Millis, lookTakes cottonlanding.Millis) {
 	w.decide(turnSpan)
 	for _, info := range w.workers {
@@ -51,12 +51,12 @@
 	}
 }
 
-// TestBoundsSurviveOwnerThatPolledNobody: an owner that was lost before it had asked a silent worker took off the bound that it had
-// inherited, so that the next one waited anew.
+// TestBoundsSurviveOwnerThatPolledNobody guards against an owner that drops the inherited lease bound of a silent
+// worker and is lost before it has polled it, so that its successor waits for the whole lease again.
 func TestBoundsSurviveOwnerThatPolledNobody(t *testing.T) {
 	for _, lives := range []cottonlanding.Millis{200, 500, 1000, 1500} {
 		for _, unlist := range []bool{true, false} {
-			t.Run(fmt.Sprintf("the next one lives %s, unlisted %t", lives, unlist), func(t *testing.T) {
+			t.Run(fmt.Sprintf("next owner lives %s, unlisted %t", lives, unlist), func(t *testing.T) {
 				w := newLastingWorld(t)
 				w.crashForGood("w1")
 				lost := w.now
@@ -86,15 +86,15 @@
 	}
 }
 
-// TestBoundsSurviveOwnerLostWhileLoading: an owner that was lost while it loaded the rows made the bounds useless that the one before
-// had written.
+// TestBoundsSurviveOwnerLostWhileLoading guards against lease bounds that can't be used once an owner was lost while it
+// loaded the rows.
 func TestBoundsSurviveOwnerLostWhileLoading(t *testing.T) {
 	w := newLastingWorld(t)
 	w.crashForGood("w1")
 	lost := w.now
 	w.play(2500)
 	w.killOwner(600, func() {})
-	w.now += 700 // the next one loads
+	w.now += 700 // the next owner loads rows
 	w.killOwner(600, func() {})
 	for w.runner.Lasting() < 4 && w.now < lost+cottonlanding.Minute {
 		w.turn(turnSpan)
@@ -105,8 +105,8 @@
 	require.LessOrEqual(t, w.now-lost, 9*cottonlanding.Second)
 }
 
-// TestSilentWorkersAreGivenUpInTime: each new owner first asked a worker that was cut off for three seconds, so that its lasting tasks
-// stayed down for as long as owners changed.
+// TestSilentWorkersAreGivenUpInTime guards against owners that each poll a partitioned worker for three seconds first,
+// so that its lasting tasks stay down for as long as owners change.
 func TestSilentWorkersAreGivenUpInTime(t *testing.T) {
 	for _, every := range []cottonlanding.Millis{2500, 3000, 3500, 4000} {
 		t.Run(fmt.Sprint(every), func(t *testing.T) {
@@ -137,11 +137,11 @@
 	}
 }
 
-// TestLeasesFromEarlierOwnersCount: an owner went by the end of the one before alone, and gave up runs whose leases a still older one, which
-// was cut off, had renewed for longer.
+// TestLeasesFromEarlierOwnersCount guards against an owner that considers only the end of its direct predecessor and
+// gives up runs whose leases an earlier, partitioned owner has renewed for longer.
 func TestLeasesFromEarlierOwnersCount(t *testing.T) {
 	w := newLastingWorld(t)
-	// The first owner may own the cell for 4 s more by its last beat, and is cut off from the table.
+	// The first owner may own the cell for 4 s more by its last beat, and is partitioned from the table.
 	w.ownedFor = 4000
 	w.renewOwnership()
 	firstUntil := w.now + 4000
@@ -182,7 +182,7 @@
 	}
 }
 
-// pollUnless looks at a worker, or fails the look.
+// pollUnless polls a worker, or fails the poll if it is the silent one.
 func (w *world) pollUnless(id, silent cottonlanding.WorkerID) {
 	if id != silent {
 		w.poll(id, true)
--- a/internal/workflow/planner/successor.go
+++ b/internal/workflow/planner/successor.go
@@ -7,11 +7,11 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// One process has an address at a time. A life that is no longer listed has ended once another one
-// has answered there what it was asked after that life's last answer had come. That another one is listed there says nothing: entries of lives that have ended
-// stay for some seconds, also beside and after those of their successors.
+// Only one process at a time has an address. A life that is no longer listed has ended once another one has answered
+// at its address to a poll that was sent after that life's last answer. A list entry of the other life proves nothing:
+// entries of ended lives stay listed for some seconds, also beside and after those of their successors.
 
-// endReplacedWorkers ends the runs, and settles the open lives, of workers that are no longer listed and at whose
+// endReplacedWorkers ends the runs, and resolves the open lives, of workers that are no longer listed and at whose
 // addresses others answer.
 func (c *Cell) endReplacedWorkers(now cottonlanding.Millis) {
 	var gone []*worker
@@ -48,7 +48,7 @@
 	return out
 }
 
-// isReplaced reports whether another worker has answered in place of one that tasks have left open.
+// isReplaced reports whether another worker has answered at the address of one of which tasks have an open life.
 func (c *Cell) isReplaced(id cottonlanding.WorkerID, answering map[cottonlanding.Address]*worker) bool {
 	w := c.workers[id]
 	successor := answering[c.openLivesByWorker[id].address]
--- a/internal/workflow/planner/successor_test.go
+++ b/internal/workflow/planner/successor_test.go
@@ -10,7 +10,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// playWithHangingPolls lets a while pass in which the looks at a worker hang.
+// playWithHangingPolls runs the world for a span in which polls of a worker hang.
 func (w *world) playWithHangingPolls(id cottonlanding.WorkerID, span cottonlanding.Millis) {
 	for end := w.now + span; w.now < end; {
 		w.decide(turnSpan)
@@ -22,8 +22,8 @@
 	}
 }
 
-// playStaleEntry plays a worker that crashes, whose entry stays and whose looks hang, and another one that comes at its
-// address, serves on and leaves the list first. Owners change before that if told so.
+// playStaleEntry runs a worker that crashes while its entry stays and its polls hang, and another one that starts at its
+// address, keeps running and leaves the list first. If ownerChanges is set, the owner changes before that.
 func playStaleEntry(t *testing.T, ownerChanges bool) *world {
 	t.Helper()
 	w := newSpreadWorld(t)
@@ -44,8 +44,8 @@
 	return w
 }
 
-// TestStaleEntryOfEndedLife: the entry of a life that had crashed stood longer than that of the worker which came at its address.
-// The latter served on and was taken for ended, and its tasks ran twice.
+// TestStaleEntryOfEndedLife guards against taking a running worker for ended because the entry of the crashed one whose
+// address it has stays listed for longer; its tasks would run twice.
 func TestStaleEntryOfEndedLife(t *testing.T) {
 	for _, ownerChanges := range []bool{false, true} {
 		w := playStaleEntry(t, ownerChanges)
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestStaleEntryOfCrashedLife: a worker crashes, another one comes at its address, leaves and takes its entry
-// off the list while that of the crashed one, which nobody has asked yet, still stands. The crashed one was taken
-// for the successor of the one that served on, whose tasks ran twice.
+// TestStaleEntryOfCrashedLife guards against taking a crashed worker for the successor of the one that started at its
+// address later. The crashed one was never polled, and its entry is still listed when the other one's is removed; that
+// one's tasks would run twice.
 func TestStaleEntryOfCrashedLife(t *testing.T) {
 	w := newWorldWithBirths(t)
 	crashed := w.workers[0]
@@ -88,8 +88,8 @@
 	require.Equal(t, 1, w.runner.Starts())
 }
 
-// TestLateAnswerOfEarlierLife: an answer that a worker had made before it ended came after those of the one at its address, which had left the
-// list first and was taken for ended.
+// TestLateAnswerOfEarlierLife guards against taking a worker for ended because an answer of the previous one at its
+// address, made before that one ended, arrives after its own answers and after it was removed from the list.
 func TestLateAnswerOfEarlierLife(t *testing.T) {
 	w := newWorldWithBirths(t)
 	old := w.workers[0]
@@ -97,7 +97,7 @@
 	require.True(t, found)
 	require.Zero(t, next.After)
 	asked := w.now
-	report, err := w.runner.Look(context.Background(), next.Worker, next.Look) // made, and under way for long
+	report, err := w.runner.Look(context.Background(), next.Worker, next.Look) // answered, and in flight until below
 	require.NoError(t, err)
 	w.runner.Crash(old.ID)
 	w.addLife(old)
@@ -120,7 +120,7 @@
 	w.workers[1].Labels = append(w.workers[1].Labels, "next")
 	w.unlist(came)
 	w.now += 50
-	w.cell.PollAnswered(next, report, asked, w.now) // within the time of a look
+	w.cell.PollAnswered(next, report, asked, w.now) // within the time that a poll may take
 	for range 10 {
 		w.decide(turnSpan)
 	}
--- a/internal/workflow/planner/trial.go
+++ b/internal/workflow/planner/trial.go
@@ -2,21 +2,20 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// Pairs of images of which little is known are tried: a filling task is placed beside a
-// serving one that isn't busy, one at a time on each worker, and its worker is looked at
-// often until figures have shown what it does.
+// Pairs of images of which little is known are tried: a filling task is placed beside a serving task with headroom,
+// one trial at a time on each worker, and the worker is polled often until measurements show the effect.
 
-// trialHeadroom is how much less busy than its aim a serving task must be for a trial beside
-// it. A tenth of a worker, as filling tasks use, adds 0.1 to 0.4 if the images go badly
-// together: the task is then near its target for the half second until that is seen.
+// trialHeadroom is by how much the utilization of a serving task must be below its goal for a trial beside it. A
+// filling task uses a tenth of a worker and adds 0.1 to 0.4 if the images interfere strongly: the serving task is then
+// near its target for the half second until that is measured.
 const trialHeadroom = 0.1
 
-// untried reports whether the pair has to be tried.
+// untried reports whether too little is known of the pair.
 func (p *interference) untried(filling, serving cottonlanding.Image) bool {
 	return p.policy.Untried(p.pair(filling, serving))
 }
 
-// untriedAmong returns the images in use that have to be tried beside a serving one.
+// untriedAmong returns the images in use that are untried beside a serving one.
 func (p *interference) untriedAmong(used map[cottonlanding.Image]float64, serving cottonlanding.Image) []cottonlanding.Image {
 	var out []cottonlanding.Image
 	for filling := range used {
@@ -27,7 +26,7 @@
 	return out
 }
 
-// logTrialResults logs which trials a figure has ended, and what they have shown.
+// logTrialResults logs the weights of the pairs whose trials a measurement has ended.
 func (c *Cell) logTrialResults(trials []cottonlanding.Image, serving cottonlanding.Image) {
 	for _, filling := range trials {
 		if c.interference.untried(filling, serving) {
@@ -38,11 +37,11 @@
 	}
 }
 
-// includesTrial reports whether a filling task beside serving ones is a trial.
+// includesTrial reports whether any running filling task is untried beside one of the serving tasks.
 func (c *Cell) includesTrial(serving, filling []*run) bool {
 	for _, f := range filling {
 		if f.paceGoal == 0 {
-			continue // it disturbs nobody
+			continue // paused, so it interferes with nothing
 		}
 		for _, s := range serving {
 			if c.interference.untried(f.step.Image, s.step.Image) {
@@ -53,7 +52,7 @@
 	return false
 }
 
-// calm reports whether all serving tasks are well below their aims by their last figures.
+// calm reports whether all serving tasks are below their goals by trialHeadroom in their last measurements.
 func (c *Cell) calm(serving []*run) bool {
 	for _, s := range serving {
 		if s.tailLatency > 0 && c.interference.utilization(s, s.tailLatency) > c.interference.utilizationGoal(s)-trialHeadroom {
@@ -63,8 +62,8 @@
 	return true
 }
 
-// mayRunTrial reports whether a task of a step may be placed on a worker as far as trials
-// are concerned: it would be none, or the worker is fit for one.
+// mayRunTrial reports whether placing a task of a step on a worker starts no trial, or one for which all serving
+// tasks there have headroom and which is the only one.
 func (c *Cell) mayRunTrial(w *worker, step cottonlanding.Step, now cottonlanding.Millis) bool {
 	room := c.room(w, now)
 	for _, s := range room.slacks {
