--- a/internal/workflow/planner/delegation_test.go
+++ b/internal/workflow/planner/delegation_test.go
@@ -19,7 +19,7 @@
 func TestDelegatedTasksRunExactlyOnce(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		const mostTasks = 30 // of the 48 that fit while all workers are up
+		const maxTasks = 30 // of the 48 that fit while all workers are up
 		n := newMultiCell(t, 3, 2)
 		homes := make(map[cottonlanding.WorkflowID]int)
 		tasks := make(map[cottonlanding.WorkflowID]int)
@@ -42,7 +42,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(t *rapid.T) {
 				step := lastingCores(rapid.IntRange(1, 12).Draw(t, "Tasks"))
-				if sum += step.Tasks; sum > mostTasks {
+				if sum += step.Tasks; sum > maxTasks {
 					sum -= step.Tasks
 					return
 				}
