--- a/internal/workflow/planner/delegated.go
+++ b/internal/workflow/planner/delegated.go
@@ -39,7 +39,7 @@
 	return SpecKey(c.setup.Partition, j.ID), StateKey(c.setup.Partition, j.ID)
 }
 
-// LoadDelegated is Load for delegated workflows, with specification and state rows in one list.
+// LoadDelegated is Load for delegated workflows, with specification and state rows in one list. It fails as Load does.
 func (c *Cell) LoadDelegated(rows []cottonlanding.Row, now cottonlanding.Millis) error {
 	specsAt := c.setup.Partition.Key(delegatedRowsPrefix + specPrefix)
 	var specs, states []cottonlanding.Row
--- a/internal/workflow/planner/delegation.go
+++ b/internal/workflow/planner/delegation.go
@@ -226,7 +226,7 @@
 	return changed
 }
 
-// Delegations returns the requests for each delegate cell. A delegation, or the end of a workflow, is included only
+// Delegations returns what to request of each delegate cell. A delegation, or the end of a workflow, is included only
 // once it is committed.
 func (c *Cell) Delegations() map[cottonlanding.CellNumber][]DelegatedWorkflow {
 	out := make(map[cottonlanding.CellNumber][]DelegatedWorkflow)
--- a/internal/workflow/planner/interference_test.go
+++ b/internal/workflow/planner/interference_test.go
@@ -98,7 +98,7 @@
 	s.cell.Submit(cottonlanding.Workflow{ID: id, Queue: queue, Steps: []cottonlanding.Step{step}}, s.now, func(error) {})
 }
 
-// swinging is a load with the swings seen on the real platform.
+// swinging is a load with the swings of real ones.
 func swinging(now cottonlanding.Millis) float64 {
 	return 0.48 + 0.2*math.Sin(2*math.Pi*float64(now)/20_000)
 }
@@ -208,8 +208,8 @@
 	require.Less(t, s.longestOverTarget, maxOverTarget)
 }
 
-// TestStarvedWorkflowRuns guards against a filling workflow of a heavy image that starts no task although one fits on the
-// worker.
+// TestStarvedWorkflowRuns guards against a filling workflow of a heavy image that starts no task although one fits on
+// the worker.
 func TestStarvedWorkflowRuns(t *testing.T) {
 	s := newSharedWorker(t, map[cottonlanding.Image]float64{"heavy": 8})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 4, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
@@ -374,7 +374,7 @@
 }
 
 // TestNewOwnerInheritsWeights guards against a new owner that pauses light filling tasks, or lets heavy ones run fast,
-// until it has learnt their weights anew.
+// until it has learnt their weights again.
 func TestNewOwnerInheritsWeights(t *testing.T) {
 	s := newSharedWorker(t, map[cottonlanding.Image]float64{"light": 0.1, "heavy": 6})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
--- a/internal/workflow/planner/learnt.go
+++ b/internal/workflow/planner/learnt.go
@@ -82,9 +82,10 @@
 	}
 }
 
-// LoadLearnt loads the row of a predecessor. Without it everything is learnt anew.
+// LoadLearnt loads the row of a predecessor; without it everything is learnt again. It fails if the row can't be
+// decoded, and the row is then overwritten.
 func (c *Cell) LoadLearnt(row cottonlanding.Row) error {
-	c.learntVersion = row.Version // also of an unreadable row, which is overwritten
+	c.learntVersion = row.Version // also of an unreadable row
 	var learnt learntRow
 	if err := json.Unmarshal(row.Value, &learnt); err != nil {
 		return fmt.Errorf("row %s: %w", row.Key, err)
--- a/internal/workflow/planner/multicell_test.go
+++ b/internal/workflow/planner/multicell_test.go
@@ -16,7 +16,8 @@
 	// cancelledStartTimeout is how long after the acknowledgement of a cancellation a task may still start, by the rule on
 	// cancelled jobs.
 	cancelledStartTimeout = 3 * cottonlanding.Second
-	// otherCellRestartTimeout is how soon a lost lasting task must run if another cell has room, by the rule on lost tasks.
+	// otherCellRestartTimeout is how soon a lost lasting task must run if another cell has room, by the rule on lost
+	// tasks.
 	otherCellRestartTimeout = 9 * cottonlanding.Second
 )
 
--- a/internal/workflow/planner/referral.go
+++ b/internal/workflow/planner/referral.go
@@ -42,7 +42,7 @@
 }
 
 // DecodeReferral returns from a referral's row the cell that owns the workflow, and whether that cell has yet to
-// accept it.
+// accept it. It fails if the row can't be decoded.
 func DecodeReferral(row cottonlanding.Row) (cell cottonlanding.CellNumber, pending bool, err error) {
 	var value referralRow
 	if err := json.Unmarshal(row.Value, &value); err != nil {
@@ -169,7 +169,7 @@
 	c.unplannedReferrals[id] = []func(error){}
 }
 
-// LoadReferrals loads the referrals of previous owners.
+// LoadReferrals loads the referrals of previous owners. It fails if a row can't be decoded.
 func (c *Cell) LoadReferrals(rows []cottonlanding.Row, now cottonlanding.Millis) error {
 	for _, row := range rows {
 		var value referralRow
--- a/internal/workflow/planner/sharedlearnt.go
+++ b/internal/workflow/planner/sharedlearnt.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// LoadLearntByOthers replaces what is known from other cells by the contents of their rows.
+// LoadLearntByOthers replaces what is known from other cells by the contents of their rows. It fails, and changes no
+// weight, if a row can't be decoded.
 func (c *Cell) LoadLearntByOthers(rows []cottonlanding.Row) error {
 	remoteFindings := make(findings)
 	for _, row := range rows {
--- a/internal/workflow/planner/successor_test.go
+++ b/internal/workflow/planner/successor_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// playStaleEntry runs a worker that crashes while its entry stays and its polls hang, and another one that starts at its
-// address, keeps running and leaves the list first. If ownerChanges is set, the owner changes before that.
+// playStaleEntry runs a worker that crashes while its entry stays and its polls hang, and another one that starts at
+// its address, keeps running and leaves the list first. If ownerChanges is set, the owner changes before that.
 func playStaleEntry(t *testing.T, ownerChanges bool) *world {
 	t.Helper()
 	w := newSpreadWorld(t)
