--- a/internal/workflow/planner/stale_test.go
+++ b/internal/workflow/planner/stale_test.go
@@ -27,9 +27,9 @@
 	return orders
 }
 
-// TestStartToLeavingWorkerIsUnwanted: a start that waits behind others isn't sent
+// TestStartToLeavingWorkerIsObsolete: a start that waits behind others isn't sent
 // once its worker is known to leave.
-func TestStartToLeavingWorkerIsUnwanted(t *testing.T) {
+func TestStartToLeavingWorkerIsObsolete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		orders := pendingStarts(w)
