--- a/internal/workflow/planner/blockedlog.go
+++ b/internal/workflow/planner/blockedlog.go
@@ -7,17 +7,16 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// maxBlockedLogsPerSecond bounds the lines that tell what holds back lasting tasks that don't run: each costs a look at all
-// workers.
+// maxBlockedLogsPerSecond bounds the lines on lasting tasks that are down, each of which checks all workers.
 const maxBlockedLogsPerSecond = 25
 
-// blockedLogBudget counts the lines of the present second.
+// blockedLogBudget counts the lines of the current second.
 type blockedLogBudget struct {
 	secondBegan cottonlanding.Millis
 	lines       int
 }
 
-// left returns how many lines may still be written in this second.
+// left returns how many more lines may be written in this second.
 func (b *blockedLogBudget) left(now cottonlanding.Millis) int {
 	if now-b.secondBegan >= cottonlanding.Second {
 		b.secondBegan, b.lines = now, 0
@@ -25,8 +24,8 @@
 	return maxBlockedLogsPerSecond - b.lines
 }
 
-// logBlocked logs what holds back each lasting task that was placed before and doesn't run, those first that were
-// told longest ago.
+// logBlocked logs what blocks each lasting task that was placed before and is down, those that were logged longest
+// ago first.
 func (c *Cell) logBlocked(now cottonlanding.Millis) {
 	left := c.downtimes.budget.left(now)
 	if left <= 0 || len(c.downtimes.open) == 0 {
@@ -50,7 +49,7 @@
 	}
 }
 
-// logsBlocked reports whether it's time to log what holds the task back.
+// logsBlocked reports whether a line on what blocks the task may be logged now.
 func (d *downtime) logsBlocked(now cottonlanding.Millis) bool {
 	sameReason := d.loggedPlaced == (d.task.run != nil)
 	if d.isOver() || sameReason && d.loggedAt > 0 && now-d.loggedAt < waitLogInterval {
@@ -62,7 +61,7 @@
 	return d.task.state == taskWaiting && now-d.task.waitingSince >= waitLogDelay
 }
 
-// logNotStarted logs what is known of a run that was placed and isn't known to go on.
+// logNotStarted logs the state of a run that was placed and isn't known to run.
 func (c *Cell) logNotStarted(r *run, now cottonlanding.Millis) {
 	w := r.worker
 	c.logs.lasting.Info("placed task doesn't run", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "PlacedBefore", now-r.placedAt,
@@ -71,7 +70,7 @@
 		"Cordoned", w.cordoned(), "StartsHeld", c.startsHeld, "MayStart", r.task.job.mayStart(now))
 }
 
-// String returns the phase as the log shows it.
+// String returns the name of the phase for the log.
 func (p phase) String() string {
 	return [...]string{planned: "Planned", committed: "Cleared", sent: "Sent", started: "Started"}[p]
 }
--- a/internal/workflow/planner/estimate.go
+++ b/internal/workflow/planner/estimate.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// initialStandardError is how far the true weight of a pair may lie from firstWeight.
+	// initialStandardError is the assumed standard error of initialWeight.
 	initialStandardError = 2.5
-	// measurementNoise is the error of a figure less its step's load: 0.06 as seen on runs,
-	// twice that since the figures of one worker's tasks come together and share the
-	// error of what their step's load is expected to be.
+	// measurementNoise is the standard error of a measured load less the expected load of its step. A single
+	// measurement has 0.06; measurements of tasks on one worker share the error of the expected load, which doubles
+	// it.
 	measurementNoise = 0.12
-	// weightDrift is by how much a weight may shift from one figure to the next: over a
-	// minute of figures by about half, so that what was learnt wrongly is forgotten.
+	// weightDrift is the assumed standard deviation by which a weight changes between two measurements. Over a
+	// minute of measurements it adds up to about half, so that wrong estimates are corrected.
 	weightDrift = 0.012
 )
 
-// weightEstimate holds the weights of the filling images beside one serving image. It is
-// a Kalman filter: the use of the filling images explains how much busier a task is
-// than its own load, and each weight has a doubt that shrinks with what was learnt.
+// weightEstimate holds the interference weights of the filling images next to one serving image. It is a Kalman
+// filter that attributes the load of a task beyond its own to the CPU use of the filling images. The uncertainty of
+// a weight shrinks with the measurements.
 type weightEstimate struct {
 	index   map[cottonlanding.Image]int
 	weights []float64
-	// doubt is the covariance of the weights.
+	// doubt is the covariance matrix of the weights.
 	doubt [][]float64
 }
 
@@ -32,10 +32,10 @@
 	return &weightEstimate{index: make(map[cottonlanding.Image]int)}
 }
 
-// unknownPair is the view of a pair that was never seen.
+// unknownPair is the view of a pair that was never observed.
 var unknownPair = cottonlanding.PairView{Weight: initialWeight, Doubt: initialStandardError}
 
-// pair returns what is known of a filling image.
+// pair returns the estimate for a filling image.
 func (e *weightEstimate) pair(image cottonlanding.Image) cottonlanding.PairView {
 	at, known := e.index[image]
 	if !known {
@@ -44,7 +44,7 @@
 	return cottonlanding.PairView{Weight: e.weights[at], Doubt: math.Sqrt(e.doubt[at][at])}
 }
 
-// predict returns how much busier the use makes the image, and the variance of that.
+// predict returns the load that the use of filling images adds to the serving image, and its variance.
 func (e *weightEstimate) predict(used map[cottonlanding.Image]float64) (added, variance float64) {
 	for image, share := range used {
 		e.addImage(image)
@@ -72,7 +72,7 @@
 	e.doubt = append(e.doubt, row)
 }
 
-// learn takes in how much busier the image is with the filling images' use.
+// learn records the load that was added while the filling images used the given shares of a worker.
 func (e *weightEstimate) learn(used map[cottonlanding.Image]float64, added float64) {
 	for image := range used {
 		e.addImage(image)
@@ -84,10 +84,10 @@
 	e.update(use, added)
 }
 
-// update is one step of the filter.
+// update is one step of the Kalman filter.
 func (e *weightEstimate) update(use []float64, added float64) {
 	n := len(e.weights)
-	covarianceUse := make([]float64, n) // doubt x use
+	covarianceUse := make([]float64, n) // doubt * use
 	variance := measurementNoise * measurementNoise
 	predicted := 0.0
 	for i := range n {
--- a/internal/workflow/planner/evacuate.go
+++ b/internal/workflow/planner/evacuate.go
@@ -7,16 +7,16 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Nothing starts on a worker that is cordoned: one that is leaving, or whose data centre is
-// evacuated. What runs in an evacuated data centre goes on, so that unlike one that is leaving
-// such a worker keeps its lease and its runs; only starts that didn't go out are taken back.
+// No run starts on a cordoned worker: one that is leaving, or whose data centre is evacuated or silent. Runs in an
+// evacuated data centre continue, so that such a worker keeps its lease and its runs, unlike a leaving one. Only
+// starts that were not sent are revoked.
 
-// cordoned reports whether the worker may be given nothing new by the operators' or its own
-// word, however much room it has.
+// cordoned reports whether the worker may be given no new runs, regardless of its room: it is leaving, its data
+// centre is evacuated by the operators, or its data centre is silent.
 func (w *worker) cordoned() bool { return w.leaving() || w.evacuated || w.dataCentreSilent }
 
-// SetEvacuations takes in where nothing new may start. Starts that wait to be sent there are
-// taken back at once.
+// SetEvacuations sets the data centres in which no run may start, unless a newer reading is known. Starts that wait
+// to be sent there are revoked at once.
 func (c *Cell) SetEvacuations(evacuations cottonlanding.Evacuations, now cottonlanding.Millis) {
 	if evacuations.ReadAt < c.evacuations.ReadAt {
 		return
@@ -37,7 +37,7 @@
 	c.logEvacuated(before, changed, c.counts.RevokedStarts-revokedBefore, now)
 }
 
-// sameEvacuations reports whether two readings tell of the same evacuations.
+// sameEvacuations reports whether two readings contain the same evacuations.
 func sameEvacuations(a, b cottonlanding.Evacuations) bool {
 	if len(a.Ordered) != len(b.Ordered) {
 		return false
@@ -50,8 +50,7 @@
 	return true
 }
 
-// updateEvacuated works out anew whether a worker's data centre is evacuated, and reports whether
-// that has changed.
+// updateEvacuated recomputes whether a worker's data centre is evacuated, and reports whether that has changed.
 func (c *Cell) updateEvacuated(w *worker) bool {
 	evacuated := c.evacuations.Cover(w.info.DataCentre)
 	if evacuated == w.evacuated {
@@ -67,9 +66,9 @@
 	return true
 }
 
-// withholdStart keeps a start from going out that may wait behind others, and has the run ruled
-// out if its worker has answered since and didn't list it: a copy may still be under way. A
-// start that had left by then goes on if it arrives.
+// withholdStart keeps a start from being sent that may be queued behind others. If the worker has answered since
+// without listing the run, it also has the run ruled out, since a copy of the start may still be under way. A start
+// that was sent before takes effect if it arrives.
 func (c *Cell) withholdStart(r *run, now cottonlanding.Millis) {
 	r.unwanted.Store(true)
 	if !r.orderInFlight && r.worker.lastAnswerAt > max(r.sentAt, r.placedAt) {
@@ -77,14 +76,14 @@
 	}
 }
 
-// revokeStart ends a run whose start isn't wanted any more, or wasn't taken, and all of its gang
-// with it: the others would wait for it in vain.
+// revokeStart ends a run whose start is no longer wanted or was not accepted, and the rest of its gang, which could
+// never be complete.
 func (c *Cell) revokeStart(r *run, reason string, now cottonlanding.Millis) {
 	c.endUnstarted(r, reason, now)
 	c.revokeGang(r, now)
 }
 
-// revokeGang takes back the other runs of a gang that can't be complete.
+// revokeGang revokes the other runs of a gang that can't be complete.
 func (c *Cell) revokeGang(r *run, now cottonlanding.Millis) {
 	if !r.step.Gang || r.task == nil {
 		return
@@ -96,7 +95,7 @@
 	}
 }
 
-// endUnstarted ends a run of which no start may take effect any more.
+// endUnstarted ends a run whose start must not take effect any more.
 func (c *Cell) endUnstarted(r *run, reason string, now cottonlanding.Millis) {
 	switch {
 	case r.stopping:
@@ -109,8 +108,8 @@
 	c.counts.RevokedStarts++
 }
 
-// logEvacuated logs each data centre that was evacuated or taken back: how many workers it
-// has, what goes on there, and how many starts were taken back.
+// logEvacuated logs each data centre whose evacuation was ordered or lifted: its workers, their runs, and how many
+// starts were revoked.
 func (c *Cell) logEvacuated(before cottonlanding.Evacuations, changed []*worker, revoked int64, now cottonlanding.Millis) {
 	workers := make(map[cottonlanding.DataCentre]int)
 	runs := make(map[cottonlanding.DataCentre]int)
--- a/internal/workflow/planner/gang.go
+++ b/internal/workflow/planner/gang.go
@@ -11,7 +11,7 @@
 	number := cottonlanding.RunNumber(0)
 	for _, t := range s.tasks {
 		if t.state != taskWaiting {
-			return 0 // the last run has not ended everywhere
+			return 0 // the last run has not ended on all workers
 		}
 		number = max(number, t.number)
 	}
@@ -23,7 +23,7 @@
 	return 0
 }
 
-// gangRacks returns the racks to try; the empty one stands for all together.
+// gangRacks returns the racks to try; the empty one means any rack.
 func (c *Cell) gangRacks(s *stage) []cottonlanding.Rack {
 	if !s.SameRack {
 		return []cottonlanding.Rack{""}
@@ -79,7 +79,7 @@
 	return c.choose(t, candidates, now)
 }
 
-// livesBytes returns the most that a gang takes more in a row while it's placed on workers.
+// livesBytes returns by how many bytes a gang's row grows at most when it is placed on the workers.
 func livesBytes(chosen []*worker) int {
 	sum := 0
 	for _, w := range chosen {
--- a/internal/workflow/planner/place.go
+++ b/internal/workflow/planner/place.go
@@ -7,25 +7,23 @@
 )
 
 const (
-	// defaultServingUse is the part of its processors that a serving task is expected
-	// to use before its load was seen.
+	// defaultServingUse is the fraction of its CPU that a serving task is expected to use until its load has been
+	// measured.
 	defaultServingUse = 0.6
-	// minFillingShare is the part of its processors that a filling task must be
-	// expected to get for it to be placed: one after the other are done sooner than
-	// all at half their speed.
+	// minFillingShare is the fraction of its CPU that a filling task must be expected to get to be placed: running
+	// tasks one after the other finishes sooner than running all of them at half speed.
 	minFillingShare = 0.8
-	// starvationTimeout is how long a workflow of filling tasks may have nothing running
-	// while there is room: it must not come to three seconds.
+	// starvationTimeout is how long a filling workflow may have no run while there is room. It must have one within
+	// 3 s.
 	starvationTimeout = 1500 * cottonlanding.Millis(1)
-	// makeRoomRetryInterval is the pause between two attempts to make room for a step.
+	// makeRoomRetryInterval is the time between two attempts to make room for a step.
 	makeRoomRetryInterval = 100 * cottonlanding.Millis(1)
-	// maxPlacements bounds the decisions of one call, so that their commit stays small.
+	// maxPlacements bounds the placements of one Decide call, which keeps its transaction small.
 	maxPlacements = 400
 )
 
-// Decide takes in that time has passed: it gives up what surely ended, begins
-// rounds that are due, and places tasks. wall is the time of day in milliseconds
-// since 1970.
+// Decide advances the cell to now: it gives up runs that are guaranteed to have ended, starts the rounds whose time
+// has come, and places tasks. wall is the time of day in milliseconds since 1970.
 func (c *Cell) Decide(now cottonlanding.Millis, wall int64) {
 	c.lapse(now)
 	c.updateSilentDataCentres(now)
@@ -41,8 +39,8 @@
 	c.logSummary(now)
 }
 
-// beginRounds makes the rounds of schedules whose time has come. One for which the row has no
-// room waits until earlier ones are finished.
+// beginRounds creates the rounds of schedules whose time has come. A round that does not fit into the workflow's
+// row waits until earlier rounds finish.
 func (c *Cell) beginRounds(now cottonlanding.Millis, wall int64) {
 	for _, j := range c.openJobs {
 		for next := len(j.rounds); next < j.Schedule.Rounds; next++ {
@@ -52,13 +50,13 @@
 			}
 			j.addRound(next, now)
 			c.markDirty(j)
-			c.log.Info("round begun", "Workflow", j.ID, "Round", next, "Due", due, "TimeOfDay", wall)
+			c.log.Info("round started", "Workflow", j.ID, "Round", next, "Due", due, "TimeOfDay", wall)
 		}
 	}
 }
 
-// stopOnLeavingWorkers stops lasting and checkpointing runs on workers that will end, so
-// that they go on elsewhere.
+// stopOnLeavingWorkers stops lasting and checkpointing runs on workers that are shutting down, so that they
+// continue elsewhere.
 func (c *Cell) stopOnLeavingWorkers(now cottonlanding.Millis) {
 	for _, w := range c.sortedWorkers() {
 		if !w.leaving() || !w.listed {
@@ -72,7 +70,7 @@
 	}
 }
 
-// place gives waiting tasks to workers, urgent queues first.
+// place assigns waiting tasks to workers, urgent queues first.
 func (c *Cell) place(now cottonlanding.Millis) {
 	placed := 0
 	var failures placementFailures
@@ -89,8 +87,7 @@
 	}
 }
 
-// placeStage gives the waiting tasks of a step to workers, up to a number of them, and
-// returns how many.
+// placeStage assigns up to limit waiting tasks of a step to workers and returns how many it placed.
 func (c *Cell) placeStage(s *stage, limit int, failures *placementFailures, now cottonlanding.Millis) int {
 	defer c.logPlaced()
 	placed := 0
@@ -103,11 +100,11 @@
 		}
 		w := c.pickUnlessRuledOut(t, failures, now)
 		if w == nil && !t.mustRunAgain(now) && (c.needsIsolation(t, now) || c.yieldsWithinStep(t)) {
-			continue // there may be room beside others, or for others
+			continue // others may fit despite the isolation or the reservation
 		}
 		if w == nil {
 			c.handleNoRoom(t, now)
-			return placed // the others of the step need the same
+			return placed // the other tasks of the step need the same resources
 		}
 		if !t.job.hasRoomForLives(lifeBytes(w.life())) {
 			c.logRowFull(t, now)
@@ -129,8 +126,8 @@
 	return tasks
 }
 
-// pickUnlessRuledOut returns the worker for a task, without looking when a task
-// that needs no more found none in this pass.
+// pickUnlessRuledOut returns the worker for a task. It skips the search if a task of the same kind that needs no
+// more found no worker in this pass.
 func (c *Cell) pickUnlessRuledOut(t *task, failures *placementFailures, now cottonlanding.Millis) *worker {
 	if !failures.ruleOut(t) {
 		if w := c.pick(t, now); w != nil {
@@ -143,8 +140,8 @@
 	return c.pickStarved(t, now)
 }
 
-// handleNoRoom looks for what can be done for a task that found no worker, from time
-// to time: the workers change little in between.
+// handleNoRoom tries to make room for a task that found no worker, once per makeRoomRetryInterval since workers
+// change little in between.
 func (c *Cell) handleNoRoom(t *task, now cottonlanding.Millis) {
 	if now < t.stage.nextRoomTry {
 		return
@@ -152,14 +149,14 @@
 	t.stage.nextRoomTry = now + makeRoomRetryInterval
 	if !t.job.hasRoomForLives(maxLifeBytes) {
 		c.logRowFull(t, now)
-		return // nothing is to give way for a task that may not be placed
+		return // don't preempt runs for a task that can't be placed
 	}
 	c.preemptFor(t, now)
 	c.holdWorkers(t, now)
 	c.logWaiting(t, now)
 }
 
-// assign plans a run; it is sent once the plan is committed.
+// assign plans a run, which is sent once the plan is committed.
 func (c *Cell) assign(t *task, w *worker, number cottonlanding.RunNumber, now cottonlanding.Millis) {
 	t.state, t.number = taskAssigned, number
 	t.setLife(w.life())
@@ -178,28 +175,28 @@
 	c.logBatch.recordPlaced(t, w, now)
 }
 
-// preference orders the workers that fit a task; lower ones are asked first.
+// preference ranks the workers that fit a task; lower values are tried first.
 type preference int
 
 const (
 	// onDataRack workers are on the rack of the task's data.
 	onDataRack preference = iota
-	// compatible workers have serving tasks that go well with the task.
+	// compatible workers have serving tasks that the task can share a worker with at little interference.
 	compatible
 	// withoutServing workers have no serving tasks.
 	withoutServing
-	// ordinary workers are all other sound ones.
+	// ordinary workers are all other healthy ones.
 	ordinary
-	// shouldAvoid workers failed lately, are slow, failed this task, or are kept for a run that runs apart; for lasting
-	// tasks also those of which it would be known late that they have ended.
+	// shouldAvoid workers failed recently, are slow, failed this task, or are isolated for another run. For lasting
+	// tasks they also include workers whose end would be detected late.
 	shouldAvoid
 	preferences
 )
 
-// preferenceFor returns how well a worker suits a task. Serving tasks go beside others of
-// their image, so that the filling tasks that this image bears well find workers
-// on which nothing else serves. Filling tasks go where they disturb nobody, beside
-// serving tasks first, to leave the other workers to those that disturb.
+// preferenceFor returns how well a worker suits a task. Serving tasks share workers with tasks of the same image,
+// which leaves workers without other serving images to the filling tasks that this image tolerates. Filling tasks
+// go where they disturb no serving task, to workers with serving tasks first, which leaves the other workers to
+// filling tasks that do disturb.
 func (c *Cell) preferenceFor(t *task, w *worker, now cottonlanding.Millis) preference {
 	room := c.room(w, now)
 	serves := t.stage.Serves()
@@ -245,12 +242,12 @@
 	return c.rejection(t, w, now) == notRejected
 }
 
-// allowed reports whether a worker may run a task, if it had room.
+// allowed reports whether a worker may run a task, regardless of its room.
 func (c *Cell) allowed(t *task, w *worker, now cottonlanding.Millis) bool {
 	return w.usable(now) && w.meetsRequirements(t) && !w.atStepLimit(t)
 }
 
-// runsOfStep counts the runs of a task's step and round.
+// runsOfStep counts the runs of a task's step and round on the worker.
 func (w *worker) runsOfStep(ref cottonlanding.TaskRef) int {
 	count := 0
 	for _, r := range w.runs.all() {
@@ -262,9 +259,8 @@
 	return count
 }
 
-// spare returns the processors that are expected to be left by all runs. Filling
-// tasks count as if they worked at full pace, also while they stand still: they go
-// on when the load falls, and tasks placed over them would make all of them late.
+// spare returns the CPU that all runs are expected to leave unused. Filling tasks count at full pace even while
+// paused: they resume when the load falls, and overcommitting the worker would delay all of them.
 func (w *worker) spare() cottonlanding.Millicores {
 	spare := float64(w.info.Capacity.CPU)
 	for _, r := range w.runs.all() {
@@ -277,8 +273,7 @@
 	return cottonlanding.Millicores(spare)
 }
 
-// servingUse returns the part of its processors that a serving task is expected to
-// use: as much as it is busy.
+// servingUse returns the fraction of its CPU that a serving task is expected to use, taken to equal its load.
 func (r *run) servingUse() float64 {
 	if r.task == nil || !r.task.stage.load.known() {
 		return defaultServingUse
@@ -286,8 +281,8 @@
 	return r.task.stage.load.value
 }
 
-// choose lets the policy choose. Filling tasks see what is expected to be left of a
-// worker, all others its unreserved room.
+// choose applies the placement policy to the candidates. For filling tasks a worker's free CPU is what is expected
+// to be left unused, for all others its unreserved CPU.
 func (c *Cell) choose(t *task, candidates []*worker, now cottonlanding.Millis) *worker {
 	if len(candidates) == 0 {
 		return nil
@@ -311,15 +306,14 @@
 	return candidates[at]
 }
 
-// fillingCPU returns the processors that a filling task may expect on a worker, less
-// the fewer the more it would have to be slowed there.
+// fillingCPU returns the CPU that a filling task can expect on a worker, scaled down by how much it would have to
+// be slowed there.
 func (c *Cell) fillingCPU(w *worker, step cottonlanding.Step, now cottonlanding.Millis) cottonlanding.Millicores {
 	return cottonlanding.Millicores(float64(c.room(w, now).spare) * c.sustainablePace(w, step, now))
 }
 
-// pickStarved returns a worker for a filling task of a workflow that has had
-// nothing running for a while: the one that bears it best. It is slowed there as
-// far as the serving tasks need it.
+// pickStarved returns a worker for a filling task whose workflow has had no run for starvationTimeout: the one that
+// can give it the most CPU. It is slowed there as far as the serving tasks require.
 func (c *Cell) pickStarved(t *task, now cottonlanding.Millis) *worker {
 	if !t.stage.Fills || now-t.waitingSince < starvationTimeout || now < t.stage.nextRoomTry || t.job.anyRun() {
 		return nil
--- a/internal/workflow/planner/placementfailure.go
+++ b/internal/workflow/planner/placementfailure.go
@@ -2,8 +2,8 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// placementFailure is a task that found no worker in a pass. Workers only fill up during a
-// pass, so that a task which needs as much or more finds none either.
+// placementFailure describes a task that found no worker in a pass. Workers only fill up during a pass, so that a
+// task of the same kind that needs as much or more finds none either.
 type placementFailure struct {
 	service cottonlanding.ServiceName
 	label   cottonlanding.Label
@@ -12,7 +12,7 @@
 	need    cottonlanding.Resources
 }
 
-// placementFailures holds the misses of one pass.
+// placementFailures holds the failures of one pass.
 type placementFailures struct {
 	failures []placementFailure
 }
@@ -25,20 +25,20 @@
 		need:    t.stage.Resources,
 	}
 	if t.stage.Fills {
-		out.image = t.stage.Image // how it disturbs others depends on it
+		out.image = t.stage.Image // the interference with serving tasks depends on the image
 	}
 	return out
 }
 
-// add notes a miss, unless it comes from a bound of the task's own.
+// add records a failure, unless the task's own MostPerWorker limit may have caused it.
 func (l *placementFailures) add(t *task) {
 	if t.stage.MostPerWorker == 0 {
 		l.failures = append(l.failures, placementFailureOf(t))
 	}
 }
 
-// ruleOut reports whether a task surely finds no worker. Room may be kept for a
-// lasting task alone, so that nothing is sure for those.
+// ruleOut reports whether a task is guaranteed to find no worker. Lasting tasks are never ruled out, since a worker
+// may be held for one of them alone.
 func (l *placementFailures) ruleOut(t *task) bool {
 	if t.stage.Lasting {
 		return false
--- a/internal/workflow/planner/preempt.go
+++ b/internal/workflow/planner/preempt.go
@@ -8,25 +8,24 @@
 )
 
 const (
-	// preemptionTimeout is how long a task waits for the room that others are being
-	// stopped for: the longest stop and a look.
+	// preemptionTimeout is how long a task waits for the room that runs are being stopped for: the longest stop
+	// plus a poll.
 	preemptionTimeout = 1500 * cottonlanding.Millis(1)
-	// headroomFactor is how many times over there must be room in sum. Source: the rule
-	// that asks for a start where capacity exists twice over.
+	// headroomFactor is how many times a task's resources must be free in total, since a start is required where
+	// capacity exists twice over.
 	headroomFactor = 2
-	// holdAfter is how long a lasting task waits before a worker is kept for it,
-	// keepFor how long that lasts at most. The rule asks for a start after some nine
-	// seconds; each worker that is kept costs short tasks, so that as few are kept as
-	// can be: one at a time for each workersPerKept, on which one was enough. For tasks that
-	// were interrupted it is one for each workersPerInterrupted, since each has to start in time.
+	// holdAfter is how long a lasting task waits before a worker is held for it, holdTimeout for how long at most.
+	// The task must start within about 9 s. Each held worker delays short tasks, so that there is only one per
+	// workersPerHold workers, which is enough, or one per workersPerInterruptedHold for interrupted tasks, each of
+	// which has to start in time.
 	holdAfter                 = 5 * cottonlanding.Second
 	holdTimeout               = 4 * cottonlanding.Second
 	workersPerHold            = 48
 	workersPerInterruptedHold = 4
 )
 
-// preemptFor stops runs of less urgent queues on the worker where that loses the
-// least, unless room is being made already.
+// preemptFor stops runs of less urgent queues on the worker where the least work is lost, unless room is already
+// being made for the task.
 func (c *Cell) preemptFor(t *task, now cottonlanding.Millis) {
 	if now < t.preemptionUntil || t.stage.Fills {
 		return
@@ -35,7 +34,7 @@
 	lowest := 0.0
 	for _, w := range c.sortedWorkers() {
 		if !t.stage.Reserved().Fits(c.room(w, now).withPreemption(t.job.queue.Priority)) {
-			continue // weighing all runs of all workers would take most of an owner's time
+			continue // computing the victims on all workers would take most of an owner's time
 		}
 		if !c.allowed(t, w, now) || w.health.shouldAvoid(now) || c.reservedForOthers(t, w, now) {
 			continue
@@ -55,8 +54,8 @@
 	}
 }
 
-// holdWorkers keeps workers free for a task, and for those of its step that were interrupted as well: the turn of
-// the step ends with the first that finds no room.
+// holdWorkers holds workers for a task and for the other interrupted tasks of its step, since the placement of a
+// step ends with its first task that finds no room.
 func (c *Cell) holdWorkers(t *task, now cottonlanding.Millis) {
 	if !c.holdWorker(t, now) {
 		return
@@ -68,9 +67,8 @@
 	}
 }
 
-// holdWorker keeps a worker free for a lasting task that has waited for long although
-// there is room in sum, or short ones would take that as soon as one worker has
-// enough of it. It reports whether one is kept.
+// holdWorker holds a worker for a lasting task that has waited long although there is enough room in total. Without
+// it, short tasks would take each bit of room before one worker has enough. It reports whether a worker is held.
 func (c *Cell) holdWorker(t *task, now cottonlanding.Millis) bool {
 	if !t.waitsLong(now) || !c.hasTotalHeadroom(t, now) {
 		return false
@@ -98,9 +96,10 @@
 	return true
 }
 
-// maxHeld returns how many workers may be kept for a task to get another one. Of many that were
-// interrupted at once each has its time, so that they don't wait for one another. Where lasting tasks hold most of the
-// room, short ones make way for few of them, and what is kept would be missing to smaller ones here and in other cells.
+// maxHeld returns the number of held workers from which on no further one is held for a task. Tasks that were
+// interrupted together each have to run again in time, so that they get several workers rather than wait for one
+// another. Where lasting tasks hold most of the room, few short ones would make way, and held workers would be
+// missing to smaller tasks here and in other cells.
 func (c *Cell) maxHeld(t *task, now cottonlanding.Millis) int {
 	if t.precedence(now) == interruptedPrecedence && !c.reserved.nearlyFull(t) {
 		return max(1, len(c.workers)/workersPerInterruptedHold)
@@ -108,23 +107,22 @@
 	return max(1, len(c.workers)/workersPerHold)
 }
 
-// waitsLong reports whether a lasting task has waited, or was down, for so long that a worker is
-// kept for it.
+// waitsLong reports whether a lasting task has waited or been down long enough for a worker to be held for it.
 func (t *task) waitsLong(now cottonlanding.Millis) bool {
 	waits := t.state == taskWaiting && !t.job.state.Final()
 	return waits && t.stage.Lasting && !t.stage.Fills && now-t.downSince() >= holdAfter
 }
 
-// precedence is how strong a precedence on room a task has.
+// precedence ranks waiting tasks; higher values get room first.
 type precedence int
 
 const (
-	// normalPrecedence is that of tasks that end by themselves, or wait only for a while.
+	// normalPrecedence is that of tasks that end by themselves or have not waited long.
 	normalPrecedence precedence = iota
-	// longWaitPrecedence is that of lasting tasks that have waited for long.
+	// longWaitPrecedence is that of lasting tasks that have waited long.
 	longWaitPrecedence
-	// interruptedPrecedence is that of such that had a run: their users miss them, and the rule
-	// sets a time for their next run.
+	// interruptedPrecedence is that of lasting tasks that have waited long and ran before: their users depend on
+	// them, and they must run again within a set time.
 	interruptedPrecedence
 )
 
@@ -138,23 +136,22 @@
 	return interruptedPrecedence
 }
 
-// interruptionWindow is for how long after the end of its run a lasting task goes before
-// others: some turns. Later its room is others', and it waits as they do until its claim is
-// strong.
+// interruptionWindow is for how long after the end of its run a lasting task goes before others: a few decisions.
+// After that its room is given to others, and it waits as they do until it has waited long.
 const interruptionWindow = 500 * cottonlanding.Millis(1)
 
-// justInterrupted reports whether the run of a lasting task has ended just now.
+// justInterrupted reports whether the run of a lasting task ended within interruptionWindow.
 func (t *task) justInterrupted(now cottonlanding.Millis) bool {
 	return t.stage.Lasting && t.state == taskWaiting && t.number > 0 && now-t.waitingSince < interruptionWindow
 }
 
-// comparePrecedence orders tasks by their claims, then by how long they wait.
+// comparePrecedence orders tasks by precedence, then by waiting time.
 func comparePrecedence(a, b *task, now cottonlanding.Millis) int {
 	return cmp.Or(cmp.Compare(b.precedence(now), a.precedence(now)), cmp.Compare(a.waitingSince, b.waitingSince))
 }
 
-// roomBesideLasting returns the room of a worker beside its lasting tasks: what is free or
-// will be by itself.
+// roomBesideLasting returns the room of a worker that lasting runs don't hold: what is free or becomes free without
+// preemption.
 func (w *worker) roomBesideLasting() cottonlanding.Resources {
 	room := w.info.Capacity
 	for _, r := range w.runs.all() {
@@ -165,8 +162,8 @@
 	return room
 }
 
-// hasTotalHeadroom reports whether the workers that may run the task have room for it
-// several times over, if it were in one place.
+// hasTotalHeadroom reports whether the free room of all workers that may run the task adds up to headroomFactor
+// times its resources.
 func (c *Cell) hasTotalHeadroom(t *task, now cottonlanding.Millis) bool {
 	var sum cottonlanding.Resources
 	for _, w := range c.sortedWorkers() {
@@ -177,15 +174,14 @@
 	return t.stage.Reserved().Times(headroomFactor).Fits(sum)
 }
 
-// held reports whether the worker is held: the task for which that is still waits,
-// and may still find its room here.
+// held reports whether the worker is held for a task that still waits and can still fit here.
 func (w *worker) held(now cottonlanding.Millis) bool {
 	t := w.heldFor
 	return t != nil && now < w.heldUntil && !w.cordoned() && t.waitsLong(now) && t.stage.Reserved().Fits(w.roomBesideLasting())
 }
 
-// heldFrom reports whether the worker's room is kept from a task: from all but the
-// one for which it is kept, those that go before that one, and those that can't wait any more.
+// heldFrom reports whether the worker is held for another task than t. A hold does not apply to filling tasks, to
+// tasks that come before the holder in comparePrecedence, or to those that must run again now.
 func (w *worker) heldFrom(t *task, now cottonlanding.Millis) bool {
 	if t.stage.Fills || w.heldFor == t || !w.held(now) || t.mustRunAgain(now) {
 		return false
@@ -193,14 +189,14 @@
 	return comparePrecedence(t, w.heldFor, now) >= 0
 }
 
-// victims returns the runs to stop on a worker for a task to fit, and the work
-// in millicore-milliseconds that is lost by it; none if that isn't enough.
+// victims returns the runs to stop on a worker for a task to fit, and the work in millicore-milliseconds that is
+// lost by that. It returns none if the task fits without or would not fit even so.
 func (c *Cell) victims(t *task, w *worker, now cottonlanding.Millis) ([]*run, float64) {
 	var candidates []*run
 	free := w.free()
 	for _, r := range w.runs.all() {
 		if r.stopping {
-			free = free.Plus(r.step.Reserved()) // it gives way already
+			free = free.Plus(r.step.Reserved()) // already giving up its room
 			continue
 		}
 		if r.preemptible() && r.task.job.queue.Priority > t.job.queue.Priority {
@@ -227,7 +223,7 @@
 // preemptible reports whether the run may be stopped for a more urgent one.
 func (r *run) preemptible() bool { return r.task != nil && !r.step.Lasting && !r.step.Gang }
 
-// lostWork returns the work that stopping the run throws away, in millicore-milliseconds.
+// lostWork returns the work in millicore-milliseconds that is lost when the run is stopped.
 func (r *run) lostWork(now cottonlanding.Millis) float64 {
 	if r.step.Checkpoints {
 		return 0
--- a/internal/workflow/planner/rank.go
+++ b/internal/workflow/planner/rank.go
@@ -6,14 +6,14 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// newestWorkWeight is the weight of the newest workflow in the mean work of a queue's.
+// newestWorkWeight is the weight of the newest workflow in the moving average of a queue's work per workflow.
 const newestWorkWeight = 0.02
 
-// placedScore is the score of lasting workflows of which a task was placed, others have zero: in
-// a full cell the latter may still be handed over to another one.
+// placedScore is the score of lasting workflows with a task that was placed. Others have zero and come after them:
+// in a full cell these may still be handed over to another one.
 const placedScore = -1
 
-// rankAll works out anew where each open workflow goes among those of its priority.
+// rankAll recomputes the rank of each open workflow among those of its priority.
 func (c *Cell) rankAll(now cottonlanding.Millis) {
 	for _, j := range c.openJobs {
 		j.interrupted = j.hasLasting && j.hasInterruptedTask(now)
@@ -32,8 +32,8 @@
 	return 0
 }
 
-// compareRanks orders workflows by priority, those whose lasting tasks were interrupted first,
-// then by rank, then by acceptance.
+// compareRanks orders workflows by priority, then those with interrupted lasting tasks first, then by rank and by
+// acceptance.
 func compareRanks(a, b *job) int {
 	return cmp.Or(
 		cmp.Compare(a.queue.Priority, b.queue.Priority),
@@ -67,7 +67,7 @@
 	return view
 }
 
-// recordWork takes a workflow into the mean work of its queue's.
+// recordWork adds a workflow to the average work of its queue.
 func (c *Cell) recordWork(j *job) {
 	all := j.latestForecast().work
 	mean, known := c.meanWork[j.Queue]
--- a/internal/workflow/planner/reservation.go
+++ b/internal/workflow/planner/reservation.go
@@ -6,32 +6,30 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A lasting task that has run is missed by its users, and there is a time by which it must run
-// again. One that never ran holds the room that it gets for good. So where little room is left
-// for lasting tasks, such newcomers take none that is due to tasks that have run: those that wait
-// for their next run, and those whose run will surely or probably be lost. The latter are known
-// some seconds before: a worker that falls silent keeps its runs until its lease has run out, and
-// what has crashed may be back long before that.
-
-// nearlyFullDivisor is the part of a cell's room, as a divisor, below which what lasting tasks leave is
-// little. Source: the rule that asks for a start of whatever waits while less than half is in use.
+// Lasting tasks that ran before must run again within a set time, while one that never ran holds its room for good.
+// Where little room is left for lasting tasks, room is therefore reserved for those that ran before: they wait for
+// their next run, or their run is probably lost. The latter are known early, since a worker that falls silent keeps
+// its runs until its lease has expired, while a crashed one may be back long before.
+
+// nearlyFullDivisor defines a cell as nearly full when lasting tasks leave less than capacity/nearlyFullDivisor.
+// Tasks must start without waiting while less than half of the capacity is in use.
 const nearlyFullDivisor = 2
 
-// reservations is what is due to lasting tasks that have run.
+// reservations holds the room that is reserved for lasting tasks that ran before.
 type reservations struct {
 	tasks []*task
-	// rooms is what is left for them, by service.
+	// rooms is the room that is left for them, by service.
 	rooms map[cottonlanding.ServiceName]serviceRoom
 }
 
 // serviceRoom is the room of the usable workers of a service.
 type serviceRoom struct {
-	// left is what lasting tasks leave of capacity.
+	// left is the part of capacity that lasting tasks don't hold.
 	left     cottonlanding.Resources
 	capacity cottonlanding.Resources
 }
 
-// computeReservations works out anew what is due.
+// computeReservations recomputes what is reserved.
 func (c *Cell) computeReservations(now cottonlanding.Millis) {
 	c.reserved = reservations{}
 	for _, j := range c.openJobs {
@@ -57,8 +55,8 @@
 	}
 }
 
-// awaitsRun reports whether a lasting task that has run waits for its next run, or will as far as
-// is known: its run is being stopped, or its worker is silent.
+// awaitsRun reports whether a lasting task that ran before waits for its next run or is expected to: its run is
+// being stopped, or its worker is silent.
 func (t *task) awaitsRun() bool {
 	if !t.stage.Lasting || t.stage.Fills || t.number == 0 {
 		return false
@@ -69,18 +67,18 @@
 	return t.run.stopping || t.run.worker.pollFailed
 }
 
-// neverRan reports whether a lasting task never ran.
+// neverRan reports whether a lasting task was never placed.
 func (t *task) neverRan() bool { return t.stage.Lasting && !t.stage.Fills && t.number == 0 }
 
-// yieldsWithinStep reports whether room may be due to another task of a newcomer's step.
+// yieldsWithinStep reports whether room may be reserved for another task of the step of a task that never ran.
 func (c *Cell) yieldsWithinStep(t *task) bool {
 	return t.neverRan() && slices.ContainsFunc(c.reserved.tasks, func(other *task) bool {
 		return other.stage == t.stage && other.awaitsRun()
 	})
 }
 
-// reservedForOthers reports whether the room that a task would take on a worker is due to others: little is
-// left for all of them, and one of them could use it, now or once short tasks end there.
+// reservedForOthers reports whether the room that a task would take on a worker is reserved: room is scarce, and
+// another task could use this worker, now or once short tasks end there.
 func (c *Cell) reservedForOthers(t *task, w *worker, now cottonlanding.Millis) bool {
 	if len(c.reserved.tasks) == 0 || !t.neverRan() || !c.reserved.scarce(t) {
 		return false
@@ -91,15 +89,15 @@
 	})
 }
 
-// precedes reports whether a task that awaited its run in this decision still does, and goes
-// before a newcomer: it is of the same service and not less urgent.
+// precedes reports whether a task that awaited its run at the start of this decision still does, and goes before
+// one that never ran: it has the same service and is not less urgent.
 func (t *task) precedes(newcomer *task) bool {
 	queue, other := t.job.queue, newcomer.job.queue
 	return t.awaitsRun() && queue.Service == other.Service && queue.Priority <= other.Priority
 }
 
-// scarce reports whether little is left for lasting tasks, and not several times what is due and
-// what the task needs.
+// scarce reports whether the service is nearly full and has less left than headroomFactor times what is reserved
+// plus what the task needs.
 func (d reservations) scarce(t *task) bool {
 	if !d.nearlyFull(t) {
 		return false
@@ -114,13 +112,13 @@
 	return !need.Times(headroomFactor).Fits(room.left)
 }
 
-// nearlyFull reports whether lasting tasks hold so much that nearlyFull is left for others.
+// nearlyFull reports whether lasting tasks hold so much of the service's capacity that little is left.
 func (d reservations) nearlyFull(t *task) bool {
 	room := d.rooms[t.job.queue.Service]
 	return !room.capacity.Fits(room.left.Times(nearlyFullDivisor))
 }
 
-// deduct takes in that a lasting task was given room.
+// deduct removes the resources of a lasting task that was placed from what is left.
 func (d reservations) deduct(t *task) {
 	room, known := d.rooms[t.job.queue.Service]
 	if known && t.stage.Lasting && !t.stage.Fills {
--- a/internal/workflow/planner/room.go
+++ b/internal/workflow/planner/room.go
@@ -6,7 +6,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// free returns the room that no run holds.
+// free returns the resources that no run holds.
 func (w *worker) free() cottonlanding.Resources {
 	free := w.info.Capacity
 	for _, r := range w.runs.all() {
@@ -15,23 +15,23 @@
 	return free
 }
 
-// room is what is left of a worker.
+// room is what is left of a worker's capacity.
 type room struct {
-	// free is the room that no run holds.
+	// free is the resources that no run holds.
 	free cottonlanding.Resources
-	// spare is the processors that all runs are expected to leave unused.
+	// spare is the CPU that all runs are expected to leave unused.
 	spare cottonlanding.Millicores
-	// hasTrial says that a hasTrial runs there, calm that the serving tasks can bear one.
+	// hasTrial says that a trial runs on the worker, calm that its serving tasks can tolerate one.
 	hasTrial, calm bool
-	// slacks tells for each serving image how much busier its tasks may become.
+	// slacks holds for each serving image by how much the load of its tasks may grow.
 	slacks []imageSlack
-	// stopping is what runs hold that are being stopped, yields what others hold that
-	// could give way, by the priority of their queue.
+	// stopping is held by runs that are being stopped, preemptibleRooms by runs that could be stopped, by the
+	// priority of their queue.
 	stopping         cottonlanding.Resources
 	preemptibleRooms []preemptibleRoom
 }
 
-// preemptibleRoom is the room of the runs of one priority that could give way.
+// preemptibleRoom is the resources of the preemptible runs of one priority.
 type preemptibleRoom struct {
 	priority int
 	held     cottonlanding.Resources
@@ -46,11 +46,11 @@
 	return slices.ContainsFunc(r.slacks, func(s imageSlack) bool { return s.image == image })
 }
 
-// maxRoomAge is how old a measured room may be: the loads of serving tasks move by
-// less than a hundredth meanwhile. What changes the runs makes it be measured at once.
+// maxRoomAge is how long a computed room may be reused: loads of serving tasks change by less than a hundredth
+// within it. Changes of a worker's runs invalidate it at once.
 const maxRoomAge = 100 * cottonlanding.Millis(1)
 
-// room returns what is left of a worker.
+// room returns what is left of a worker, at most maxRoomAge old.
 func (c *Cell) room(w *worker, now cottonlanding.Millis) *room {
 	if w.roomMeasuredAt > 0 && now-w.roomMeasuredAt < maxRoomAge {
 		return &w.room
@@ -68,7 +68,7 @@
 	return &w.room
 }
 
-// recordPreemptible adds what a run would leave.
+// recordPreemptible adds the resources that stopping a run would free.
 func (r *room) recordPreemptible(of *run) {
 	switch {
 	case of.stopping:
@@ -87,7 +87,7 @@
 	r.preemptibleRooms = append(r.preemptibleRooms, preemptibleRoom{priority, of.step.Reserved()})
 }
 
-// withPreemption returns the room for a task of a priority if all that could give way did.
+// withPreemption returns the room for a task of a priority if all runs of less urgent queues were stopped.
 func (r *room) withPreemption(priority int) cottonlanding.Resources {
 	sum := r.free.Plus(r.stopping)
 	for _, y := range r.preemptibleRooms {
@@ -98,7 +98,7 @@
 	return sum
 }
 
-// recordSlack keeps the least slack of each image.
+// recordSlack keeps the smallest slack of each image.
 func (r *room) recordSlack(image cottonlanding.Image, slack float64) {
 	for i := range r.slacks {
 		if r.slacks[i].image == image {
--- a/internal/workflow/planner/rowlimit.go
+++ b/internal/workflow/planner/rowlimit.go
@@ -8,14 +8,13 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// maxRowBytes is the longest row that is written, in bytes: the table takes 64 KiB, with what is put
-// before the value.
+// maxRowBytes is the longest row value that is written. The table takes 64 KiB including a prefix of the value.
 const maxRowBytes = 65_000
 
-// encodeWithinLimit encodes a state row so that the table takes it: an owner whose commit is
-// refused loses its cell. Checkpoints for which there is no room are left out, the longest
-// first, but those with which present runs are started last: a start that the next owner repeats
-// must bring the same. It starts the other tasks without one if their runs don't go on.
+// encodeWithinLimit encodes a state row that the table accepts, since an owner whose commit is refused loses its
+// cell. It drops checkpoints that don't fit, the longest first and those that current runs are started with last: a
+// start that the next owner repeats must carry the same checkpoint. Tasks whose checkpoint is dropped and whose
+// runs don't continue start without one.
 func encodeWithinLimit(row stateRow) []byte {
 	data := encode(row)
 	if excess := len(data) - maxRowBytes; excess > 0 {
@@ -28,14 +27,14 @@
 // droppableCheckpoint is a checkpoint of a row that can be left out.
 type droppableCheckpoint struct {
 	length int
-	// startsRun says that a present run is started with it.
+	// startsRun says that a current run is started with the checkpoint.
 	startsRun bool
 	drop      func()
 }
 
-// droppableCheckpoints returns the checkpoints of the row, in the order in which they are left out. A task's
-// newest one goes before that with which its run is started: what stood alone would be taken
-// for the latter.
+// droppableCheckpoints returns the checkpoints of the row in the order in which they are dropped. A task's newest
+// checkpoint goes before the one that its run is started with: if only the newest were left, it would be read as
+// the latter.
 func (r stateRow) droppableCheckpoints() []droppableCheckpoint {
 	var out []droppableCheckpoint
 	for at := range r.Tasks {
@@ -53,7 +52,7 @@
 	return out
 }
 
-// dropCheckpoints drops checkpoints until the row is that many bytes shorter, or has none.
+// dropCheckpoints drops checkpoints until the row is excess bytes shorter or has none left.
 func (r stateRow) dropCheckpoints(excess int) {
 	empty := len(encode(""))
 	for _, text := range r.droppableCheckpoints() {
@@ -65,12 +64,12 @@
 	}
 }
 
-// encodeSpec encodes what never changes of a new workflow, or returns ErrCannotRun if the table
-// takes no such row: nobody could own the cell that has it.
+// encodeSpec encodes the immutable part of a new workflow. It returns ErrCannotRun if the table would refuse the
+// row, since no owner could keep a cell with it.
 func encodeSpec(workflow cottonlanding.Workflow, queue cottonlanding.Queue) ([]byte, error) {
 	data := encode(specRow{workflow, queue})
 	if len(data) > maxRowBytes {
-		return nil, fmt.Errorf("%w: it takes %d bytes to keep, at most %d are allowed", cottonlanding.ErrCannotRun, len(data), maxRowBytes)
+		return nil, fmt.Errorf("%w: encoded workflow has %d bytes, the limit is %d", cottonlanding.ErrCannotRun, len(data), maxRowBytes)
 	}
 	return data, nil
 }
--- a/internal/workflow/planner/waiting.go
+++ b/internal/workflow/planner/waiting.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// waitLogDelay is how long a step waits before the reason is logged, and
-	// logWaitingEvery how often that is repeated.
+	// waitLogDelay is how long a task waits before the reason is logged, waitLogInterval the time between two such
+	// lines.
 	waitLogDelay    = cottonlanding.Second
 	waitLogInterval = 4 * cottonlanding.Second
 )
@@ -34,8 +34,8 @@
 	return out
 }
 
-// hasInterruptedTask reports whether a lasting task of the workflow was interrupted just now, so
-// that the room of its run is still there, or has waited for long since.
+// hasInterruptedTask reports whether a lasting task of the workflow has just been interrupted, so that its room is
+// still free, or has waited long since.
 func (j *job) hasInterruptedTask(now cottonlanding.Millis) bool {
 	for _, r := range j.rounds {
 		for _, s := range r.steps {
@@ -62,14 +62,14 @@
 	return count
 }
 
-// logWaiting logs why a step's tasks have no worker yet. Those that are missed are told one by one.
+// logWaiting logs why the tasks of a step have no worker. Interrupted tasks are logged individually by logBlocked.
 func (c *Cell) logWaiting(t *task, now cottonlanding.Millis) {
 	if t.downtime == nil && t.takeWaitLogTurn(now) {
 		c.logRejections(c.logs.tasks, t, now)
 	}
 }
 
-// logRejections logs how many workers are ruled out for a task by what.
+// logRejections logs how many workers are ruled out for a task by each check.
 func (c *Cell) logRejections(log *slog.Logger, t *task, now cottonlanding.Millis) {
 	counts := c.countRejections(t, now)
 	log.Info("step waits", "Task", t.ref.String(), "Run", t.number, "Waited", now-t.waitingSince, "Workers", len(c.workers),
@@ -78,7 +78,7 @@
 		"MayStart", t.job.mayStart(now), "CPU", int64(t.stage.Resources.CPU), "Memory", t.stage.Resources.Memory.String())
 }
 
-// takeWaitLogTurn reports whether it's time to log why a task waits, and notes that it is logged.
+// takeWaitLogTurn reports whether a line on the waiting task may be logged now, and records that it is.
 func (t *task) takeWaitLogTurn(now cottonlanding.Millis) bool {
 	toldAt := t.lastWaitLog()
 	if now-t.waitingSince < waitLogDelay || now-*toldAt < waitLogInterval && *toldAt > 0 {
@@ -88,7 +88,8 @@
 	return true
 }
 
-// lastWaitLog returns when it was last logged why the task waits: for a task that is missed, or for all of its step.
+// lastWaitLog returns when the reason for the wait was last logged: for an interrupted task its own, else that of
+// its step.
 func (t *task) lastWaitLog() *cottonlanding.Millis {
 	if t.downtime != nil {
 		return &t.downtime.loggedAt
@@ -96,8 +97,8 @@
 	return &t.stage.loggedAt
 }
 
-// logRowFull logs that a task waits although a worker has room: with it the workflow's row might
-// be longer than the table takes.
+// logRowFull logs that a task waits although a worker has room, since the workflow's row might exceed maxRowBytes
+// with it.
 func (c *Cell) logRowFull(t *task, now cottonlanding.Millis) {
 	if t.takeWaitLogTurn(now) {
 		c.log.Warn("step waits for room in the workflow's row", "Task", t.ref.String(), "Waited", now-t.waitingSince, "Bytes", t.job.size.bytes(), "Most", maxRowBytes)
