--- a/internal/workflow/planner/blockedlog_test.go
+++ b/internal/workflow/planner/blockedlog_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestDownTasksLogTheirOwnRejections guards against a log in which the first task of a step speaks for all: it waits for
-// another reason, or for less long, than one that its users miss.
+// TestDownTasksLogTheirOwnRejections guards against logging only the first task of a step, which may wait for
+// another reason, or for less time, than a task that is down.
 func TestDownTasksLogTheirOwnRejections(t *testing.T) {
 	w := newSpreadWorld(t)
 	log := w.captureLog()
@@ -25,14 +25,14 @@
 	w.play(9 * cottonlanding.Second)
 	for _, index := range []int{one, two} {
 		lines := waitLines(t, log, cottonlanding.TaskRef{Workflow: "lasting", Index: index}.String())
-		require.Len(t, lines, 3, "after one second, five and nine")
+		require.Len(t, lines, 3, "logged after 1, 5 and 9 s")
 		require.Equal(t, map[string]int{"Unusable": 2, "Full": 2}, rejectionsIn(lines[0]))
 		require.EqualValues(t, 1, lines[0]["Run"])
 	}
 }
 
-// TestIsolatedTaskLogsIsolation guards against a lasting task that waits for long without a line: one that is
-// kept apart was passed over without a word.
+// TestIsolatedTaskLogsIsolation guards against a lasting task that waits long without a log line because isolation
+// rules out all workers.
 func TestIsolatedTaskLogsIsolation(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -42,15 +42,15 @@
 	w.runner.Dark(w.workers[4].ID, true)
 	w.storeSuspect("lasting", w.workers[4].ID)
 	log := w.captureLog()
-	w.play(6 * cottonlanding.Second) // it is kept apart for seven
+	w.play(6 * cottonlanding.Second) // the isolation lasts for seven seconds
 	require.False(t, w.runs("lasting", 0))
 	lines := waitLines(t, log, firstTask("lasting").String())
-	require.Len(t, lines, 2, "after one second and five")
+	require.Len(t, lines, 2, "logged after 1 and 5 s")
 	require.Equal(t, map[string]int{"KeptApart": 4, "Unusable": 1}, rejectionsIn(lines[1]))
 }
 
-// storeSuspect has the row of a workflow with one task say that the task is given up with its next loss, and that
-// nobody knows yet what became of its last worker.
+// storeSuspect changes the row of a workflow with one task: the task is given up with its next loss, and the fate
+// of its last worker is not known yet.
 func (w *world) storeSuspect(id cottonlanding.WorkflowID, last cottonlanding.WorkerID) {
 	key := planner.StateKey(partition, id)
 	row := w.rows[key]
@@ -63,8 +63,8 @@
 	w.rows[key] = row
 }
 
-// TestStalledStartIsLogged guards against a lasting task that has a worker, so that nothing tells why it
-// doesn't run there.
+// TestStalledStartIsLogged guards against a lasting task that has a worker but doesn't run there, without a log
+// line.
 func TestStalledStartIsLogged(t *testing.T) {
 	w := newSpreadWorld(t)
 	log := w.captureLog()
@@ -77,17 +77,17 @@
 	ref := cottonlanding.TaskRef{Workflow: "lasting", Index: w.firstIdle("lasting")}
 	w.play(6 * cottonlanding.Second)
 	lines := logLines(t, log, "placed task doesn't run")
-	require.Len(t, lines, 2, "after one second and five")
+	require.Len(t, lines, 2, "logged after 1 and 5 s")
 	require.Equal(t, ref.String(), lines[0]["Task"])
 	require.EqualValues(t, 2, lines[0]["Run"])
 	require.Equal(t, w.workers[4].ID, cottonlanding.WorkerID(lines[0]["Worker"].(string)))
 	require.Equal(t, "Cleared", lines[0]["Phase"])
 	require.Equal(t, true, lines[0]["StartsHeld"])
-	require.Empty(t, waitLines(t, log, ref.String()), "it waits for no worker")
+	require.Empty(t, waitLines(t, log, ref.String()), "the task has a worker")
 }
 
-// TestStalledStartIsLoggedAfterWait guards against a start that hangs for seconds without a line, since the wait for a
-// worker before it was told just now.
+// TestStalledStartIsLoggedAfterWait guards against a stalled start that isn't logged for seconds because the
+// preceding wait for a worker was logged just before.
 func TestStalledStartIsLoggedAfterWait(t *testing.T) {
 	w := newSpreadWorld(t)
 	log := w.captureLog()
@@ -106,8 +106,8 @@
 	require.InDelta(t, float64(cottonlanding.Second), lines[0]["PlacedBefore"], float64(turnSpan))
 }
 
-// TestBlockedTaskLogIsRateLimited guards against a log that grows with the tasks that wait, or tells the same ones again
-// and again.
+// TestBlockedTaskLogIsRateLimited guards against a log that grows with the number of waiting tasks, or that repeats
+// the same ones.
 func TestBlockedTaskLogIsRateLimited(t *testing.T) {
 	const lines, tasks, span = 25, 180, 10 * cottonlanding.Second
 	w := newSpreadWorld(t)
@@ -122,7 +122,7 @@
 	log := w.captureLog()
 	w.play(span)
 	all := logLines(t, log, "step waits")
-	require.LessOrEqual(t, len(all), lines*int(span/cottonlanding.Second)+5, "and some for the steps")
+	require.LessOrEqual(t, len(all), lines*int(span/cottonlanding.Second)+5, "a few more lines are of steps")
 	waiting := make(map[any]bool)
 	for _, line := range all {
 		waiting[line["Task"]] = true
@@ -130,8 +130,8 @@
 	for index := range 4 * tasks / 3 {
 		if !w.runs("lasting", index) {
 			ref := cottonlanding.TaskRef{Workflow: "lasting", Index: index}
-			require.True(t, waiting[ref.String()], "%s waits without a line", ref)
+			require.True(t, waiting[ref.String()], "%s waits without a log line", ref)
 		}
 	}
-	require.Less(t, w.runner.Lasting(), 4*tasks/3-100, "enough tasks wait for the bound to matter")
+	require.Less(t, w.runner.Lasting(), 4*tasks/3-100, "too few tasks wait to reach the limit")
 }
--- a/internal/workflow/planner/checkpointrecorder_test.go
+++ b/internal/workflow/planner/checkpointrecorder_test.go
@@ -9,18 +9,18 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// maxCheckpointsPerRun is how many texts a run makes before its end.
+// maxCheckpointsPerRun is how many checkpoints a run lists before its end.
 const maxCheckpointsPerRun = 3
 
-// checkpointRecorder has workers list a text for each run, each time another one, whether or not its
-// step checkpoints, and holds each start against what they have listed.
+// checkpointRecorder makes workers list a new checkpoint for each run in each answer, whether or not its step
+// checkpoints, and checks the checkpoint of each start against those listed.
 type checkpointRecorder struct {
-	// checkpointing and gangs say of each workflow which of its steps checkpoint and which are gangs.
+	// checkpointing and gangs hold for each workflow which of its steps checkpoint and which are gangs.
 	checkpointing, gangs map[cottonlanding.WorkflowID][]bool
 	listed               map[cottonlanding.TaskRef]map[cottonlanding.Checkpoint]bool
-	// lists counts the lists in which a run went on, up to one more than mostTexts.
+	// lists counts the answers that list a run as running, up to maxCheckpointsPerRun+1.
 	lists map[cottonlanding.RunKey]int
-	// startedWith is what the starts of a run bring; the members of a gang have one entry.
+	// startedWith is the checkpoint that a run is started with; the members of a gang share one entry.
 	startedWith map[cottonlanding.RunKey]cottonlanding.Checkpoint
 	faults      []string
 }
@@ -35,15 +35,15 @@
 	}
 }
 
-// submitCheckpointing hands a workflow in and notes which of its steps checkpoint.
+// submitCheckpointing submits a workflow and records which of its steps checkpoint.
 func (w *world) submitCheckpointing(id cottonlanding.WorkflowID, steps ...cottonlanding.Step) {
 	w.submitRounds(id, 0, steps...)
 }
 
-// roundInterval is how far apart the rounds of submitRounds are.
+// roundInterval is the time between two rounds of submitRounds.
 const roundInterval = 400 * cottonlanding.Millis(1)
 
-// submitRounds is submitSaved for a workflow that is repeated, unless there are no rounds.
+// submitRounds is submitCheckpointing with a schedule, unless rounds is zero.
 func (w *world) submitRounds(id cottonlanding.WorkflowID, rounds int, steps ...cottonlanding.Step) {
 	for _, step := range steps {
 		w.checkpoints.checkpointing[id] = append(w.checkpoints.checkpointing[id], step.Checkpoints)
@@ -68,8 +68,7 @@
 	w.commit()
 }
 
-// fillReport puts texts into the answer of a worker. A run that goes on has none the first time it
-// is listed.
+// fillReport adds checkpoints to the answer of a worker. A run that continues has none the first time it is listed.
 func (b *checkpointRecorder) fillReport(report *cottonlanding.RunReport) {
 	if b == nil {
 		return
@@ -99,7 +98,7 @@
 	return text
 }
 
-// recordOrder holds a start against what was listed and against the other starts of its run.
+// recordOrder checks a start against the listed checkpoints and against the other starts of its run.
 func (b *checkpointRecorder) recordOrder(order planner.Order) {
 	if b == nil || order.Verb != planner.VerbStart {
 		return
@@ -109,25 +108,25 @@
 	switch {
 	case text == "":
 	case !stepFlag(b.checkpointing, key.Task):
-		b.addFault("run %d of %s brings %q, and its step doesn't checkpoint", key.Number, key.Task, text)
+		b.addFault("run %d of %s starts with checkpoint %q, but its step doesn't checkpoint", key.Number, key.Task, text)
 	case !b.wasListed(key.Task, gang, text):
-		b.addFault("run %d of %s brings %q, which no run of it has listed", key.Number, key.Task, text)
+		b.addFault("run %d of %s starts with checkpoint %q, which no run of the task listed", key.Number, key.Task, text)
 	}
 	if gang {
 		key.Task.Index = 0
 	}
 	if before, found := b.startedWith[key]; found && before != text {
-		b.addFault("run %d of %s brings %q, and a start of that run before brought %q", key.Number, order.Start.Task, text, before)
+		b.addFault("run %d of %s starts with checkpoint %q, but an earlier start of it had %q", key.Number, order.Start.Task, text, before)
 	}
 	b.startedWith[key] = text
 }
 
-// stepFlag reports what a list says of a task's step.
+// stepFlag returns the entry of a task's step.
 func stepFlag(of map[cottonlanding.WorkflowID][]bool, task cottonlanding.TaskRef) bool {
 	return task.Step < len(of[task.Workflow]) && of[task.Workflow][task.Step]
 }
 
-// wasListed reports whether a run of the task has listed a text, or of its gang.
+// wasListed reports whether a run of the task, or of its gang, has listed a checkpoint.
 func (b *checkpointRecorder) wasListed(task cottonlanding.TaskRef, gang bool, text cottonlanding.Checkpoint) bool {
 	for other, texts := range b.listed {
 		if gang {
@@ -140,7 +139,7 @@
 	return false
 }
 
-// fingerprint describes what starts brought and what is to be listed.
+// fingerprint describes the recorded starts and the number of answers that listed each run.
 func (b *checkpointRecorder) fingerprint() string {
 	if b == nil {
 		return ""
--- a/internal/workflow/planner/evacuate_test.go
+++ b/internal/workflow/planner/evacuate_test.go
@@ -15,8 +15,8 @@
 
 var dataCentres = []cottonlanding.DataCentre{"a", "b", "c"}
 
-// evacuationWorld is a world whose workers are dealt over three data centres, with orders that wait
-// behind others before they are sent.
+// evacuationWorld is a world whose workers are spread over three data centres and whose orders queue up before they
+// are sent.
 type evacuationWorld struct {
 	*world
 	evacuated map[cottonlanding.DataCentre]cottonlanding.Evacuation
@@ -36,7 +36,7 @@
 	return e
 }
 
-// applyEvacuations has the cell know what is evacuated.
+// applyEvacuations passes the current evacuations to the cell.
 func (e *evacuationWorld) applyEvacuations() {
 	e.cell.SetEvacuations(cottonlanding.Evacuations{ReadAt: e.now, Ordered: maps.Clone(e.evacuated)}, e.now)
 }
@@ -52,8 +52,8 @@
 	e.applyEvacuations()
 }
 
-// sendOrders takes the due orders into the queue, and sends the first ones of it as an outbox does:
-// a start that is unwanted by then isn't sent.
+// sendOrders queues the cell's orders and sends the first ones as an outbox does: a start that is obsolete by then
+// is not sent.
 func (e *evacuationWorld) sendOrders(most int, fault func() string) {
 	e.waiting = append(e.waiting, e.cell.Orders(e.now)...)
 	for len(e.waiting) > 0 && most > 0 {
@@ -66,7 +66,7 @@
 			continue
 		}
 		if order.Verb == planner.VerbStart {
-			require.NotContains(e.t, e.evacuated, order.DataCentre, "a start of %s is sent", order.Start.Task)
+			require.NotContains(e.t, e.evacuated, order.DataCentre, "a start of %s is sent to an evacuated data centre", order.Start.Task)
 		}
 		reading, err := e.send(order)
 		switch fault() {
@@ -80,7 +80,7 @@
 	}
 }
 
-// fullTurn decides, commits, sends all orders and looks at all workers.
+// fullTurn decides, commits, sends all orders and polls all workers.
 func (e *evacuationWorld) fullTurn() {
 	e.now += turnSpan
 	e.commit()
@@ -88,10 +88,9 @@
 	e.pollAll()
 }
 
-// TestEvacuationStopsStarts plays random evacuations, one or all data centres at
-// once, taken back and ordered again, with starts that wait behind others, answers that are
-// lost and owners that change. No start is sent to an evacuated data centre, nothing runs
-// twice, lasting tasks go on there, and all is done in the end.
+// TestEvacuationStopsStarts guards against starts in an evacuated data centre. It plays random evacuations of one
+// or all data centres, lifted and ordered again, with queued starts, lost answers and changes of the owner. Tasks
+// must not run twice, lasting tasks must continue, and all other workflows must succeed in the end.
 func TestEvacuationStopsStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newEvacuationWorld(newSpreadWorld(t))
@@ -120,7 +119,7 @@
 					cottonlanding.Step{Tasks: 4, Resources: cottonlanding.Resources{CPU: 2000}, Estimate: 500},
 					cottonlanding.Step{Tasks: 2, Resources: cottonlanding.Resources{CPU: 2000}, Estimate: 500, After: []int{0}})
 			case "begin":
-				e.makePlan() // its commit comes with the next turn
+				e.makePlan() // committed with the next turn
 			case "takeOver":
 				e.waiting = nil
 				e.takeOver()
@@ -133,12 +132,12 @@
 				e.pollAll()
 			}
 		}
-		require.Equal(t, 6, e.runner.Lasting(), "lasting tasks go on")
+		require.Equal(t, 6, e.runner.Lasting(), "lasting tasks continue")
 		for _, place := range dataCentres {
 			e.restore(place)
 		}
 		for _, order := range e.late {
-			_, _ = e.send(order) // the worker knows the run, or has ruled it out
+			_, _ = e.send(order) // the worker knows the run or has ruled it out
 		}
 		for range 200 {
 			e.fullTurn()
@@ -153,9 +152,8 @@
 	})
 }
 
-// TestEvacuationRedirectsNewWork: what is handed in while a data centre is evacuated runs in the others
-// at once; with all of them evacuated it waits, and goes on within a second of the first one
-// that is taken back.
+// TestEvacuationRedirectsNewWork guards against work that waits for an evacuated data centre: it runs in the others
+// at once, or, if all are evacuated, within a second of the first one being lifted.
 func TestEvacuationRedirectsNewWork(t *testing.T) {
 	e := newEvacuationWorld(newSpreadWorld(t))
 	for range 4 {
@@ -167,7 +165,7 @@
 	for range 2 {
 		e.fullTurn()
 	}
-	require.Equal(t, step.Tasks, e.runner.Starts(), "there is room elsewhere")
+	require.Equal(t, step.Tasks, e.runner.Starts(), "the other data centres have room")
 	e.evacuate("b")
 	e.evacuate("c")
 	e.submit("b2", "Bulk", step)
@@ -175,7 +173,7 @@
 		e.fullTurn()
 	}
 	require.Equal(t, 1, e.cell.Waiting("Bulk"))
-	require.Equal(t, step.Tasks, e.runner.Starts(), "there is room nowhere")
+	require.Equal(t, step.Tasks, e.runner.Starts(), "all data centres are evacuated")
 	e.restore("c")
 	for range int(cottonlanding.Second / turnSpan) {
 		e.fullTurn()
@@ -183,8 +181,8 @@
 	require.Equal(t, 2*step.Tasks, e.runner.Starts())
 }
 
-// TestEvacuationRevokesWholeGang: where some members of a gang can't be sent any more, the others
-// aren't left to wait for them.
+// TestEvacuationRevokesWholeGang guards against gang members that wait for others whose starts can't be sent any
+// more.
 func TestEvacuationRevokesWholeGang(t *testing.T) {
 	e := newEvacuationWorld(newSpreadWorld(t))
 	for range 4 {
--- a/internal/workflow/planner/move_test.go
+++ b/internal/workflow/planner/move_test.go
@@ -10,13 +10,12 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// moveTimeout is how long a filling task may stand still while another worker could run it:
-// about half of what the tasks of filling workflows take, which all wait for their last one.
+// moveTimeout is how long a filling task may be paused while another worker could run it: about half the run time
+// of filling tasks, since a workflow waits for its last task.
 const moveTimeout = cottonlanding.Second
 
-// TestPausedFillingTaskMoves: a filling task beside a serving one that is over its
-// target stands still, and is stopped to go on where there is room well before its workflow's
-// other tasks are done.
+// TestPausedFillingTaskMoves guards against a filling task that stays paused beside a serving one over its latency
+// target, so that its workflow finishes late: it must be stopped soon and continue where there is room.
 func TestPausedFillingTaskMoves(t *testing.T) {
 	now := cottonlanding.Millis(1000)
 	cell := planner.New(planner.Setup{Partition: partition, Epoch: 1, BeforeUntil: now}, timing, selector.Default().Planner, discardLog())
@@ -63,7 +62,7 @@
 		cell.Submit(cottonlanding.Workflow{ID: id, Queue: queue, Steps: []cottonlanding.Step{step}}, now, func(error) {})
 	}
 	for range 3 {
-		turn("w1") // the other worker doesn't answer yet, so that both tasks go here
+		turn("w1") // the other worker doesn't answer yet, so that both tasks are placed here
 	}
 	submit("serving", "Serve", cottonlanding.Step{Lasting: true, Image: "s", LatencyTarget: 150})
 	turn("w1")
@@ -78,6 +77,6 @@
 	}
 	require.NotZero(t, pausedAt)
 	require.NotZero(t, stopped)
-	t.Logf("stands still at %d, stopped at %d", pausedAt, stopped)
+	t.Logf("paused at %d, stopped at %d", pausedAt, stopped)
 	require.LessOrEqual(t, stopped-pausedAt, moveTimeout)
 }
--- a/internal/workflow/planner/place_test.go
+++ b/internal/workflow/planner/place_test.go
@@ -11,8 +11,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestLargeTaskStartsAmongSmallOnes checks that a task that needs a whole worker gets it while
-// small ones use a third of all workers, spread over them.
+// TestLargeTaskStartsAmongSmallOnes guards against starvation of a task that needs a whole worker while small tasks
+// use a third of all workers, spread over them.
 func TestLargeTaskStartsAmongSmallOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -43,13 +43,13 @@
 		submitted := w.now
 		for w.runner.Lasting() < 1 {
 			play()
-			require.Less(t, w.now-submitted, 10*cottonlanding.Second, "the large task waits for ever")
+			require.Less(t, w.now-submitted, 10*cottonlanding.Second, "the large task is starved")
 		}
 	})
 }
 
-// TestHeldWorkerCanBecomeFree checks that a large task waits at a worker whose
-// runs will end, not at one that has more room now but lasting tasks beside it.
+// TestHeldWorkerCanBecomeFree guards against holding the worker with most free room for a large task although
+// lasting tasks keep it from ever fitting there, instead of one whose runs end.
 func TestHeldWorkerCanBecomeFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -78,13 +78,13 @@
 			for range rapid.IntRange(1, 2).Draw(t, "Crowd") {
 				crowd()
 			}
-			require.Less(t, w.now-submitted, 10*cottonlanding.Second, "the large task waits for ever")
+			require.Less(t, w.now-submitted, 10*cottonlanding.Second, "the large task is starved")
 		}
 	})
 }
 
-// TestPlacementsPerDecisionAreBounded: a decision holds up all else of an owner, so that a wide
-// step is placed in several.
+// TestPlacementsPerDecisionAreBounded guards against an owner that is blocked by placing all tasks of a wide step
+// in one decision.
 func TestPlacementsPerDecisionAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const mostAtOnce = 400
--- a/internal/workflow/planner/rejection_test.go
+++ b/internal/workflow/planner/rejection_test.go
@@ -12,10 +12,10 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// rejectionKeys are the counts of a line that tells why a step waits.
+// rejectionKeys are the log keys of the counts of rejected workers.
 var rejectionKeys = []string{"Unusable", "Barred", "Full", "KeptForOther", "KeptApart", "Due", "WouldDisturb", "Fits"}
 
-// captureLog has the world's next owners log into a buffer.
+// captureLog has a new owner, and those after it, log into a buffer.
 func (w *world) captureLog() *bytes.Buffer {
 	log := &bytes.Buffer{}
 	w.log = slog.New(slog.NewJSONHandler(log, nil))
@@ -37,12 +37,12 @@
 	return out
 }
 
-// waitLines returns the lines that tell why a task waits.
+// waitLines returns the lines that say why a task waits.
 func waitLines(t require.TestingT, log *bytes.Buffer, task string) []map[string]any {
 	return slices.DeleteFunc(logLines(t, log, "step waits"), func(line map[string]any) bool { return line["Task"] != task })
 }
 
-// rejectionsIn returns the counts of a line that aren't zero.
+// rejectionsIn returns the nonzero counts of a line.
 func rejectionsIn(line map[string]any) map[string]int {
 	out := make(map[string]int)
 	for _, key := range rejectionKeys {
@@ -53,15 +53,15 @@
 	return out
 }
 
-// refusingPlacement is a placement that takes no worker.
+// refusingPlacement is a placement policy that picks no worker.
 type refusingPlacement struct{}
 
 func (refusingPlacement) Place(cottonlanding.TaskView, []cottonlanding.WorkerView) int {
 	return cottonlanding.NoWorker
 }
 
-// TestWaitLogCountsRejections guards against a log that can't tell why a lasting task waits: workers kept for
-// another task, and such that the policy passes over, were counted as those that a task would disturb.
+// TestWaitLogCountsRejections guards against a wait log with wrong reasons: workers held for another task, or
+// passed over by the policy, were counted as workers that the task would disturb.
 func TestWaitLogCountsRejections(t *testing.T) {
 	filling := cottonlanding.Step{Tasks: 2, Fills: true, Estimate: 500, Resources: cottonlanding.Resources{CPU: 4000, Memory: cottonlanding.Gigabyte}}
 	barred := lasting(1, 0, 1000)
@@ -71,13 +71,13 @@
 		play  func(*world)
 		gates map[string]int
 	}{
-		"leaving":          {lasting(1, 0, 1000), leaveAllButOne, map[string]int{"Unusable": 3, "Full": 1}},
-		"label":            {barred, func(*world) {}, map[string]int{"Barred": 4}},
-		"bound of workers": {lasting(5, 1, 1000), func(*world) {}, map[string]int{"Barred": 4}},
-		"full":             {lasting(1, 0, 9000), func(*world) {}, map[string]int{"Full": 4}},
-		"kept for another": {short(3000), (*world).holdWorkerForLarge, map[string]int{"Full": 3, "KeptForOther": 1}},
-		"due to others":    {lasting(1, 0, 3000), loseOne, map[string]int{"Unusable": 1, "Full": 3, "Due": 1}},
-		"filling":          {filling, func(w *world) { fillAll(w, 7000) }, map[string]int{"WouldDisturb": 4}},
+		"leaving":             {lasting(1, 0, 1000), leaveAllButOne, map[string]int{"Unusable": 3, "Full": 1}},
+		"label":               {barred, func(*world) {}, map[string]int{"Barred": 4}},
+		"tasks per worker":    {lasting(5, 1, 1000), func(*world) {}, map[string]int{"Barred": 4}},
+		"full":                {lasting(1, 0, 9000), func(*world) {}, map[string]int{"Full": 4}},
+		"held for another":    {short(3000), (*world).holdWorkerForLarge, map[string]int{"Full": 3, "KeptForOther": 1}},
+		"reserved for others": {lasting(1, 0, 3000), loseOne, map[string]int{"Unusable": 1, "Full": 3, "Due": 1}},
+		"filling":             {filling, func(w *world) { fillAll(w, 7000) }, map[string]int{"WouldDisturb": 4}},
 		"policy": {lasting(1, 0, 1000), func(w *world) {
 			w.policy.LastingPlacement = refusingPlacement{}
 			w.takeOver()
@@ -94,7 +94,7 @@
 			last := cottonlanding.TaskRef{Workflow: "later", Index: example.step.Tasks - 1}
 			lines := waitLines(t, log, last.String())
 			if example.step.Fills {
-				lines = waitLines(t, log, firstTask("later").String()) // none of them has a worker, and the first speaks for all
+				lines = waitLines(t, log, firstTask("later").String()) // no task has a worker, and only the first is logged
 			}
 			require.NotEmpty(t, lines)
 			require.Equal(t, example.gates, rejectionsIn(lines[0]))
@@ -102,12 +102,12 @@
 			for _, count := range rejectionsIn(lines[0]) {
 				sum += count
 			}
-			require.EqualValues(t, lines[0]["Workers"], sum, "each worker counts once")
+			require.EqualValues(t, lines[0]["Workers"], sum, "each worker is counted once")
 		})
 	}
 }
 
-// leaveAllButOne has three of the workers leave, and fills the last one.
+// leaveAllButOne makes three of the workers leave and fills the last one.
 func leaveAllButOne(w *world) {
 	for number := range 3 {
 		w.leave(number)
@@ -116,7 +116,7 @@
 	w.play(cottonlanding.Second)
 }
 
-// loseOne has a lasting task lost with its worker, and another worker join that has room for it.
+// loseOne crashes the worker of a lasting task and adds another worker that has room for it.
 func loseOne(w *world) {
 	w.submit("lasting", "Urgent", lasting(4, 1, 6000))
 	w.play(cottonlanding.Second)
@@ -124,7 +124,7 @@
 	w.join()
 }
 
-// fillAll has lasting tasks take as much of each worker.
+// fillAll places a lasting task of the given size on each worker.
 func fillAll(w *world, cpu cottonlanding.Millicores) {
 	w.submit("lasting", "Urgent", lasting(4, 1, cpu))
 	w.play(cottonlanding.Second)
--- a/internal/workflow/planner/reservation_test.go
+++ b/internal/workflow/planner/reservation_test.go
@@ -10,14 +10,14 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// restartTimeout is how soon a lasting task runs again that was lost with its worker, if room
-// for it has come meanwhile: the rest of its lease, its drift, and some turns.
+// restartTimeout is how soon a lasting task that was lost with its worker runs again if there is room: the rest of
+// the lease, clock drift, and some decisions.
 const restartTimeout = 8 * cottonlanding.Second
 
-// crowdedWorld is a cell of four workers, each with a lasting task that takes three quarters of it.
+// crowdedWorld returns a cell of four workers, each with a lasting task that takes three quarters of it.
 func crowdedWorld(t require.TestingT) *world { return crowdedWorldOf(t, "Urgent") }
 
-// crowdedWorldOf is dueWorld with tasks of a queue.
+// crowdedWorldOf is crowdedWorld with tasks of a queue.
 func crowdedWorldOf(t require.TestingT, queue cottonlanding.QueueName) *world {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -27,13 +27,13 @@
 	return w
 }
 
-// crash ends a worker without a word, and lets its owner notice.
+// crash crashes a worker and plays some turns, in which the owner detects it.
 func (w *world) crash(number int) {
 	w.runner.Crash(w.workers[number].ID)
 	w.play(4 * turnSpan)
 }
 
-// runsAll reports whether the first tasks of a workflow's first step run, up to a number of them.
+// runsAll reports whether the first tasks of a workflow's first step all run.
 func (w *world) runsAll(id cottonlanding.WorkflowID, tasks int) bool {
 	for index := range tasks {
 		if !w.runs(id, index) {
@@ -48,9 +48,8 @@
 	return w.runner.Runs(cottonlanding.TaskRef{Workflow: id, Index: index})
 }
 
-// TestNewTasksLeaveReservedRoom plays a worker that crashes and is back under another id before
-// its lease has run out. Its room goes to the lasting task that is lost with it, not to one that
-// comes meanwhile and would hold it for good.
+// TestNewTasksLeaveReservedRoom guards against a new lasting task that takes the room of one that is lost with its
+// worker, when the worker crashes and is back under another id before its lease has expired.
 func TestNewTasksLeaveReservedRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := crowdedWorld(t)
@@ -58,13 +57,13 @@
 		w.join()
 		w.submit("later", "Urgent", lasting(2, 0, cottonlanding.Millicores(rapid.IntRange(2500, 6000).Draw(t, "CPU"))))
 		w.play(restartTimeout)
-		require.True(t, w.runsAll("lasting", 4), "what was lost runs again")
+		require.True(t, w.runsAll("lasting", 4), "the lost task runs again")
 		require.Empty(t, w.runner.Violations())
 	})
 }
 
-// TestNewTasksLeaveRoomForStoppedOnes is the same for tasks whose worker leaves: they have to be
-// stopped first, which takes some turns.
+// TestNewTasksLeaveRoomForStoppedOnes guards against a new lasting task that takes the room of one whose worker
+// leaves, while that one is still being stopped.
 func TestNewTasksLeaveRoomForStoppedOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := crowdedWorld(t)
@@ -73,17 +72,17 @@
 		w.submit("later", "Urgent", lasting(2, 0, 6000))
 		w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 		w.play(cottonlanding.Second)
-		require.True(t, w.runsAll("lasting", 4), "what was stopped runs again")
+		require.True(t, w.runsAll("lasting", 4), "the stopped task runs again")
 	})
 }
 
-// TestNewTasksTakeUnreservedRoom plays the same crash where less is due: room that is enough for
-// both, and a rest that is too small for what was lost, are taken at once.
+// TestNewTasksTakeUnreservedRoom guards against reservations that are too wide after a crash: room that is enough
+// for both tasks, or too small for the lost one, is taken at once.
 func TestNewTasksTakeUnreservedRoom(t *testing.T) {
 	for name, step := range map[string]cottonlanding.Step{
-		"enough for both":      lasting(1, 0, 6000),
-		"too small a rest":     lasting(3, 1, 2000),
-		"tasks that end alone": short(6000),
+		"enough for both":             lasting(1, 0, 6000),
+		"too small for the lost task": lasting(3, 1, 2000),
+		"short tasks":                 short(6000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := crowdedWorld(t)
@@ -101,12 +100,12 @@
 			}
 			require.True(t, begun)
 			w.play(restartTimeout)
-			require.True(t, w.runsAll("lasting", 4), "what was lost runs again")
+			require.True(t, w.runsAll("lasting", 4), "the lost task runs again")
 		})
 	}
 }
 
-// TestReservationsRespectPriority: a newcomer doesn't stand back for what is less urgent.
+// TestReservationsRespectPriority guards against reservations for less urgent tasks that block a more urgent new one.
 func TestReservationsRespectPriority(t *testing.T) {
 	w := crowdedWorldOf(t, "Bulk")
 	w.crash(0)
@@ -116,8 +115,8 @@
 	require.True(t, w.runsAll("later", 1))
 }
 
-// TestNewTasksTakeAmpleRoom: where there is several times the room that is due and asked
-// for, a newcomer takes some of it at once, also on a worker that what was lost could use.
+// TestNewTasksTakeAmpleRoom guards against reservations where there is several times the room that is reserved and
+// requested: a new task starts at once, even on a worker that the lost task could use.
 func TestNewTasksTakeAmpleRoom(t *testing.T) {
 	w := crowdedWorld(t)
 	w.crash(0)
@@ -131,8 +130,7 @@
 	require.True(t, w.runsAll("later", 1))
 }
 
-// TestNewTasksStartWhileHalfIsFree: while lasting tasks leave half of the room, nothing waits for
-// what is due.
+// TestNewTasksStartWhileHalfIsFree guards against reservations while lasting tasks leave half of the room.
 func TestNewTasksStartWhileHalfIsFree(t *testing.T) {
 	w := crowdedWorld(t)
 	w.crash(0)
@@ -144,7 +142,8 @@
 	require.True(t, w.runsAll("later", 1))
 }
 
-// TestReservationsCountOwnServiceOnly: what workers of another service have left helps nobody.
+// TestReservationsCountOwnServiceOnly guards against counting the free room of another service's workers, which
+// makes room look ample.
 func TestReservationsCountOwnServiceOnly(t *testing.T) {
 	w := crowdedWorld(t)
 	for range 4 {
@@ -157,10 +156,11 @@
 	w.join()
 	w.submit("later", "Urgent", lasting(1, 0, 6000))
 	w.play(restartTimeout)
-	require.True(t, w.runsAll("lasting", 4), "what was lost runs again")
+	require.True(t, w.runsAll("lasting", 4), "the lost task runs again")
 }
 
-// TestManyNewTasksLeaveReservedRoom: many that come at once leave room too, though each alone would.
+// TestManyNewTasksLeaveReservedRoom guards against many new tasks that take the reserved room together, although
+// each alone would leave enough.
 func TestManyNewTasksLeaveReservedRoom(t *testing.T) {
 	w := crowdedWorld(t)
 	w.crash(0)
@@ -170,10 +170,10 @@
 	w.join()
 	w.submit("later", "Urgent", lasting(6, 0, 6000))
 	w.play(restartTimeout)
-	require.True(t, w.runsAll("lasting", 4), "what was lost runs again")
+	require.True(t, w.runsAll("lasting", 4), "the lost task runs again")
 }
 
-// TestReservedRoomPreventsPreemption: nothing is stopped for a task that isn't given the room.
+// TestReservedRoomPreventsPreemption guards against preempting runs for a task that may not take the room.
 func TestReservedRoomPreventsPreemption(t *testing.T) {
 	w := crowdedWorld(t)
 	w.crash(0)
@@ -183,12 +183,12 @@
 	w.submit("later", "Urgent", lasting(1, 0, 6000))
 	w.play(cottonlanding.Second)
 	require.True(t, w.runsAll("slow", 1))
-	require.Zero(t, w.cell.Counts().Evicted, "it isn't stopped")
+	require.Zero(t, w.cell.Counts().Evicted, "the short task is preempted")
 }
 
-// TestNewTaskYieldsWithinItsStep plays a step of five tasks, one to a worker, of
-// which the fifth never ran. Some seconds after another has lost its worker one more worker comes:
-// it is for the task that has run, however long the fifth has waited.
+// TestNewTaskYieldsWithinItsStep guards against a task that takes the room of another task of its step. In a step
+// of five tasks, one per worker, the fifth never ran; a worker that joins after another left is for the task that
+// ran before, however long the fifth has waited.
 func TestNewTaskYieldsWithinItsStep(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -200,12 +200,12 @@
 	w.play(2 * cottonlanding.Second)
 	w.join()
 	for _, index := range ran {
-		require.True(t, w.runs("lasting", index), "task %d has run and runs again", index)
+		require.True(t, w.runs("lasting", index), "task %d ran before and has to run again", index)
 	}
 }
 
-// TestReservationsEnd: once what was lost runs again, and once its workflow is cancelled, the
-// rest is others'.
+// TestReservationsEnd guards against room that stays reserved after the lost task runs again or its workflow is
+// cancelled.
 func TestReservationsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := crowdedWorld(t)
--- a/internal/workflow/planner/roomelsewhere_test.go
+++ b/internal/workflow/planner/roomelsewhere_test.go
@@ -9,8 +9,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestInterruptedTaskFindsRoomThatShortOnesTakeElsewhere: a lasting task whose full cell lost a worker waited beside another cell for as long as
-// short tasks followed each other there: cells tell of what is free at an instant, and keep no worker for tasks of others.
+// TestInterruptedTaskFindsRoomThatShortOnesTakeElsewhere guards against a lasting task of a full cell that lost a
+// worker and waits although another cell has room: short tasks keep taking that room, since cells report what is
+// free at an instant and hold no workers for tasks of other cells.
 func TestInterruptedTaskFindsRoomThatShortOnesTakeElsewhere(t *testing.T) {
 	n := newMultiCell(t, 2, 2)
 	n.turn(100)
@@ -33,7 +34,7 @@
 	n.cells[0].runner.Crash(n.cells[0].workers[0].ID)
 	crashed := n.cells[0].now
 	for n.cells[0].runner.Lasting() < 2 || n.cells[0].now-crashed < cottonlanding.Second {
-		require.LessOrEqual(t, n.cells[0].now-crashed, otherCellRestartTimeout, "the other cell has room twice over beside its short tasks")
+		require.LessOrEqual(t, n.cells[0].now-crashed, otherCellRestartTimeout, "the other cell has twice the room beside its short tasks")
 		play()
 	}
 }
--- a/internal/workflow/planner/rowlimit_test.go
+++ b/internal/workflow/planner/rowlimit_test.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// maxTransactionBytes is what the table takes at once, in bytes, with values in base64.
+	// maxTransactionBytes is the longest transaction that the table takes, with values in base64.
 	maxTransactionBytes = 1_000_000
-	// maxValueBytes is the longest value that the table takes, in bytes.
+	// maxValueBytes is the longest value that the table takes.
 	maxValueBytes = 65_536
-	// entryOverheadBytes is more than what an entry takes beside its value.
+	// entryOverheadBytes is an upper bound of what an entry takes besides its value.
 	entryOverheadBytes = 300
 )
 
-// cellOf returns a cell that knows one queue, and no workers.
+// cellOf returns a cell that knows one queue and no workers.
 func cellOf(queue cottonlanding.QueueName) *planner.Cell {
 	cell := planner.New(planner.Setup{Partition: partition, Epoch: 1}, timing, selector.Default().Planner, discardLog())
 	cell.SetQueues(cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{queue: {Name: queue, Service: "S"}}})
 	return cell
 }
 
-// commitWithinLimit commits what a cell has to commit, each row of which the table must take.
+// commitWithinLimit commits the cell's next plan and checks that the table accepts each row.
 func commitWithinLimit(t *testing.T, cell *planner.Cell, now cottonlanding.Millis) {
 	plan := cell.Plan(now)
 	if plan == nil {
@@ -41,10 +41,9 @@
 	cell.Committed(plan, 1)
 }
 
-// TestLargeRowsSpanTransactions: where many large workflows change at once, here by their
-// clients' cancelling them, their rows together are more than the table takes in one
-// transaction. An owner whose commit is refused loses its cell, and the next one has the same
-// rows to write, as soon as the clients ask again.
+// TestLargeRowsSpanTransactions guards against a plan that is longer than the table takes in one transaction, when
+// many large workflows change at once, here by being cancelled. An owner whose commit is refused loses its cell,
+// and the next owner has to write the same rows once the clients cancel again.
 func TestLargeRowsSpanTransactions(t *testing.T) {
 	const workflows, tasks = 40, 1000
 	cell := planner.New(planner.Setup{Partition: partition, Epoch: 2}, timing, selector.Default().Planner, discardLog())
--- a/internal/workflow/planner/rowlimitgang_test.go
+++ b/internal/workflow/planner/rowlimitgang_test.go
@@ -9,9 +9,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A state row that is too long for the table leaves out the longest texts. Where that of a gang
-// was among them, the next owner repeated the start of a member without the text that the
-// member which had begun was started with, while all must bring the same.
+// TestOverfullRowKeepsGangCheckpoint guards against a gang whose members start with different checkpoints. A state
+// row that is too long drops its longest checkpoints; when the gang's was among them, the next owner repeated a
+// member's start without the checkpoint that the running member had been started with.
 func TestOverfullRowKeepsGangCheckpoint(t *testing.T) {
 	const others = 70
 	w := checkpointWorld(t)
@@ -20,7 +20,7 @@
 	after := checkpointingStep(others)
 	after.After = []int{0}
 	w.checkpoints.addListed(firstTask("slow"), cottonlanding.Checkpoint(long))
-	w.checkpoints.lists[cottonlanding.RunKey{Task: firstTask("slow"), Number: 2}] = -1000 // it has no newer text for so many lists
+	w.checkpoints.lists[cottonlanding.RunKey{Task: firstTask("slow"), Number: 2}] = -1000 // none newer for 1000 polls
 	w.loadRow("slow", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[`+row+`,["",1]`+strings.Repeat(","+row, others)+`]}`, checkpointingGang(2), after)
 	for range 20 {
 		w.turnWithoutStart(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
@@ -30,8 +30,8 @@
 	requireRetried(t, w, 2)
 }
 
-// The same where only the newest text was left out, and the row still tells with which one the
-// run was started: the rows of the other members wiped that out when they were read.
+// TestGangRowWithStartCheckpointOnly guards against losing the checkpoint that a gang was started with when a row
+// holds it without the newest one: loading the rows of the other members overwrote it.
 func TestGangRowWithStartCheckpointOnly(t *testing.T) {
 	w := checkpointWorld(t)
 	w.checkpoints.addListed(firstTask("gang"), "one")
@@ -41,8 +41,8 @@
 	require.Empty(t, w.checkpoints.faults)
 }
 
-// Owners of older code have kept texts that are too long, or in which U+FFFD stands for what the
-// worker wrote. The next owner brought them, as any text of a row.
+// TestInvalidStoredCheckpointIsDropped guards against starts with checkpoints that earlier versions stored and that
+// are too long, or contain U+FFFD in place of what the worker wrote.
 func TestInvalidStoredCheckpointIsDropped(t *testing.T) {
 	for name, text := range map[string]string{
 		"altered":  "a\ufffd",
--- a/internal/workflow/planner/rowlimitresume_test.go
+++ b/internal/workflow/planner/rowlimitresume_test.go
@@ -10,9 +10,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// A row also tells with which texts present runs are started, once newer ones are listed. These
-// weren't left out of a row that was too long, however many there were: the table refused it, and
-// the owner lost its cell, as each one after it.
+// TestRowsWithStartCheckpointsFit guards against a row that is too long because it also holds the checkpoints that
+// current runs were started with, once newer ones are listed. These were never dropped, so that the table refused
+// the row and each owner in turn lost the cell.
 func TestRowsWithStartCheckpointsFit(t *testing.T) {
 	long := strings.Repeat("\x01", cottonlanding.MaxCheckpoint) // each byte takes six in the row
 	escaped := strings.Repeat(`\u0001`, cottonlanding.MaxCheckpoint)
--- a/internal/workflow/planner/shrink_test.go
+++ b/internal/workflow/planner/shrink_test.go
@@ -10,7 +10,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// resize sets the room of all workers.
+// resize sets the CPU capacity of all workers.
 func (w *world) resize(cpu cottonlanding.Millicores) {
 	w.workers = slices.Clone(w.workers)
 	for at := range w.workers {
@@ -19,7 +19,7 @@
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 }
 
-// sendStarts sends the due orders and returns the room of all sendStarts for each worker.
+// sendStarts sends the due orders and returns the CPU of the starts of each worker.
 func (w *world) sendStarts() map[cottonlanding.WorkerID]cottonlanding.Millicores {
 	out := make(map[cottonlanding.WorkerID]cottonlanding.Millicores)
 	for _, order := range w.cell.Orders(w.now) {
@@ -37,9 +37,9 @@
 	return out
 }
 
-// TestShrinkingCapacity halves the room of workers and gives it back in series, while tasks
-// are placed, committed or about to be sent, and over a change of the owner. No start goes
-// out over the room that its worker tells of by then, and all tasks are done in the end.
+// TestShrinkingCapacity guards against starts that exceed the last listed capacity of their worker. It shrinks the
+// capacity and restores it repeatedly, while tasks are placed or committed, and over a change of the owner. All
+// tasks must be done in the end.
 func TestShrinkingCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
--- a/internal/workflow/planner/stale_test.go
+++ b/internal/workflow/planner/stale_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// pendingStarts returns the starts of a workflow that the cell has given out and that
-// are still to be sent, as behind others to the same worker.
+// pendingStarts returns the starts of a workflow that the cell has handed out and that are still to be sent, as
+// behind other orders to the same worker.
 func pendingStarts(w *world) []planner.Order {
 	w.turn(100)
 	w.turn(100)
@@ -27,8 +27,7 @@
 	return orders
 }
 
-// TestStartToLeavingWorkerIsObsolete: a start that waits behind others isn't sent
-// once its worker is known to leave.
+// TestStartToLeavingWorkerIsObsolete guards against sending a queued start after its worker is known to leave.
 func TestStartToLeavingWorkerIsObsolete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -40,7 +39,7 @@
 		w.now += 100
 		w.commit()
 		for _, order := range orders {
-			require.True(t, order.Obsolete(), "a start to a worker that is leaving")
+			require.True(t, order.Obsolete(), "the start to a leaving worker is still valid")
 		}
 	})
 }
