--- a/internal/workflow/planner/checkpointrecorder_test.go
+++ b/internal/workflow/planner/checkpointrecorder_test.go
@@ -90,12 +90,12 @@
 }
 
 func (b *checkpointRecorder) recordCheckpoint(key cottonlanding.RunKey, when string) cottonlanding.Checkpoint {
-	text := cottonlanding.Checkpoint(fmt.Sprintf("%s#%d/%s", key.Task, key.Number, when))
+	checkpoint := cottonlanding.Checkpoint(fmt.Sprintf("%s#%d/%s", key.Task, key.Number, when))
 	if b.listed[key.Task] == nil {
 		b.listed[key.Task] = make(map[cottonlanding.Checkpoint]bool)
 	}
-	b.listed[key.Task][text] = true
-	return text
+	b.listed[key.Task][checkpoint] = true
+	return checkpoint
 }
 
 // recordOrder checks a start against the listed checkpoints and against the other starts of its run.
@@ -103,22 +103,22 @@
 	if b == nil || order.Verb != planner.VerbStart {
 		return
 	}
-	key, text := order.Start.RunKey, order.Start.Checkpoint
+	key, checkpoint := order.Start.RunKey, order.Start.Checkpoint
 	gang := stepFlag(b.gangs, key.Task)
 	switch {
-	case text == "":
+	case checkpoint == "":
 	case !stepFlag(b.checkpointing, key.Task):
-		b.addFault("run %d of %s starts with checkpoint %q, but its step doesn't checkpoint", key.Number, key.Task, text)
-	case !b.wasListed(key.Task, gang, text):
-		b.addFault("run %d of %s starts with checkpoint %q, which no run of the task listed", key.Number, key.Task, text)
+		b.addFault("run %d of %s starts with checkpoint %q, but its step doesn't checkpoint", key.Number, key.Task, checkpoint)
+	case !b.wasListed(key.Task, gang, checkpoint):
+		b.addFault("run %d of %s starts with checkpoint %q, which no run of the task listed", key.Number, key.Task, checkpoint)
 	}
 	if gang {
 		key.Task.Index = 0
 	}
-	if before, found := b.startedWith[key]; found && before != text {
-		b.addFault("run %d of %s starts with checkpoint %q, but an earlier start of it had %q", key.Number, order.Start.Task, text, before)
+	if before, found := b.startedWith[key]; found && before != checkpoint {
+		b.addFault("run %d of %s starts with checkpoint %q, but an earlier start of it had %q", key.Number, order.Start.Task, checkpoint, before)
 	}
-	b.startedWith[key] = text
+	b.startedWith[key] = checkpoint
 }
 
 // stepFlag returns the entry of a task's step.
@@ -127,12 +127,12 @@
 }
 
 // wasListed reports whether a run of the task, or of its gang, has listed a checkpoint.
-func (b *checkpointRecorder) wasListed(task cottonlanding.TaskRef, gang bool, text cottonlanding.Checkpoint) bool {
-	for other, texts := range b.listed {
+func (b *checkpointRecorder) wasListed(task cottonlanding.TaskRef, gang bool, checkpoint cottonlanding.Checkpoint) bool {
+	for other, checkpoints := range b.listed {
 		if gang {
 			other.Index = task.Index
 		}
-		if other == task && texts[text] {
+		if other == task && checkpoints[checkpoint] {
 			return true
 		}
 	}
--- a/internal/workflow/planner/evacuate.go
+++ b/internal/workflow/planner/evacuate.go
@@ -117,12 +117,12 @@
 		workers[w.info.DataCentre]++
 		runs[w.info.DataCentre] += w.runs.size()
 	}
-	for _, place := range slices.Sorted(maps.Keys(workers)) {
-		order, evacuated := c.evacuations.Ordered[place]
+	for _, dataCentre := range slices.Sorted(maps.Keys(workers)) {
+		order, evacuated := c.evacuations.Ordered[dataCentre]
 		if !evacuated {
-			order = before.Ordered[place]
+			order = before.Ordered[dataCentre]
 		}
-		c.log.Info("data centre evacuated", "DataCentre", place, "Evacuated", evacuated, "Version", order.Version,
-			"KnownFor", now-order.KnownAt, "Workers", workers[place], "Runs", runs[place], "StartsTakenBack", revoked)
+		c.log.Info("data centre evacuated", "DataCentre", dataCentre, "Evacuated", evacuated, "Version", order.Version,
+			"KnownFor", now-order.KnownAt, "Workers", workers[dataCentre], "Runs", runs[dataCentre], "StartsTakenBack", revoked)
 	}
 }
--- a/internal/workflow/planner/evacuate_test.go
+++ b/internal/workflow/planner/evacuate_test.go
@@ -41,14 +41,14 @@
 	e.cell.SetEvacuations(cottonlanding.Evacuations{ReadAt: e.now, Ordered: maps.Clone(e.evacuated)}, e.now)
 }
 
-func (e *evacuationWorld) evacuate(place cottonlanding.DataCentre) {
+func (e *evacuationWorld) evacuate(dataCentre cottonlanding.DataCentre) {
 	e.orders++
-	e.evacuated[place] = cottonlanding.Evacuation{DataCentre: place, Version: cottonlanding.Version(e.orders), KnownAt: e.now}
+	e.evacuated[dataCentre] = cottonlanding.Evacuation{DataCentre: dataCentre, Version: cottonlanding.Version(e.orders), KnownAt: e.now}
 	e.applyEvacuations()
 }
 
-func (e *evacuationWorld) restore(place cottonlanding.DataCentre) {
-	delete(e.evacuated, place)
+func (e *evacuationWorld) restore(dataCentre cottonlanding.DataCentre) {
+	delete(e.evacuated, dataCentre)
 	e.applyEvacuations()
 }
 
--- a/internal/workflow/planner/rowlimit.go
+++ b/internal/workflow/planner/rowlimit.go
@@ -55,12 +55,12 @@
 // dropCheckpoints drops checkpoints until the row is excess bytes shorter or has none left.
 func (r stateRow) dropCheckpoints(excess int) {
 	empty := len(encode(""))
-	for _, text := range r.droppableCheckpoints() {
+	for _, droppable := range r.droppableCheckpoints() {
 		if excess <= 0 {
 			return
 		}
-		text.drop()
-		excess -= text.length - empty
+		droppable.drop()
+		excess -= droppable.length - empty
 	}
 }
 
--- a/internal/workflow/planner/rowlimitgang_test.go
+++ b/internal/workflow/planner/rowlimitgang_test.go
@@ -44,13 +44,13 @@
 // TestInvalidStoredCheckpointIsDropped guards against starts with checkpoints that earlier versions stored and that
 // are too long, or contain U+FFFD in place of what the worker wrote.
 func TestInvalidStoredCheckpointIsDropped(t *testing.T) {
-	for name, text := range map[string]string{
+	for name, checkpoint := range map[string]string{
 		"altered":  "a\ufffd",
 		"too long": strings.Repeat("x", cottonlanding.MaxCheckpoint+1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := checkpointWorld(t)
-			w.loadRow("w", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"`+text+`"]]}`, checkpointingStep(1))
+			w.loadRow("w", `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["",1,"",0,"`+checkpoint+`"]]}`, checkpointingStep(1))
 			w.play(2 * cottonlanding.Second)
 			require.Equal(t, 1, w.runner.Starts())
 			require.Empty(t, w.checkpoints.faults)
