--- a/internal/workflow/planner/doublestart_test.go
+++ b/internal/workflow/planner/doublestart_test.go
@@ -63,8 +63,8 @@
 // recordLease takes in a lease that reached a worker, on the worker's clock.
 func (s *startChecker) recordLease(id cottonlanding.WorkerID, until cottonlanding.Reading) {
 	lease := cottonlanding.Millis(until) - offset(id)
-	if had := s.leases[id]; had > 0 && had <= s.w.now {
-		s.lapses[id] = append(s.lapses[id], had)
+	if expired := s.leases[id]; expired > 0 && expired <= s.w.now {
+		s.lapses[id] = append(s.lapses[id], expired)
 		s.leases[id] = 0
 	}
 	s.leases[id] = max(s.leases[id], lease)
--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -119,14 +119,14 @@
 	}
 	if t.state == taskWaiting {
 		for _, w := range c.sortedWorkers() {
-			fmt.Fprintf(&out, "\n  %s: %s", w.info.ID, c.describeGate(t, w, now))
+			fmt.Fprintf(&out, "\n  %s: %s", w.info.ID, c.describeRejection(t, w, now))
 		}
 	}
 	return out.String()
 }
 
-// describeGate names the first gate that keeps a task from a worker.
-func (c *Cell) describeGate(t *task, w *worker, now cottonlanding.Millis) string {
+// describeRejection names the first gate that keeps a task from a worker.
+func (c *Cell) describeRejection(t *task, w *worker, now cottonlanding.Millis) string {
 	room := c.room(w, now)
 	switch {
 	case !w.usable(now):
--- a/internal/workflow/planner/faults_test.go
+++ b/internal/workflow/planner/faults_test.go
@@ -219,17 +219,17 @@
 			w.commit()
 			w.orders(func() string { return fault })
 		}
-		const lookTime = 800 // milliseconds for which a worker holds back its answer
-		looks := func() {
+		const pollTime = 800 // milliseconds for which a worker holds back its answer
+		pollWorkers := func() {
 			for _, worker := range w.workers {
-				next, _ := w.cell.NextPoll(worker.ID, w.now-lookTime)
+				next, _ := w.cell.NextPoll(worker.ID, w.now-pollTime)
 				report, err := w.runner.Look(context.Background(), next.Worker, next.Look)
 				require.NoError(t, err)
-				w.cell.PollAnswered(next, report, w.now-lookTime, w.now)
+				w.cell.PollAnswered(next, report, w.now-pollTime, w.now)
 			}
 		}
-		w.now += lookTime
-		looks()
+		w.now += pollTime
+		pollWorkers()
 		w.submit("b", "Urgent", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}, Estimate: 500})
 		turn("lost") // it may have been started
 		for range 8 {
@@ -237,8 +237,8 @@
 		}
 		for number := range 120 {
 			turn("")
-			if number%(lookTime/50) == 0 {
-				looks()
+			if number%(pollTime/50) == 0 {
+				pollWorkers()
 			}
 		}
 		require.Equal(t, 1, w.runner.Starts(), "the task is never run")
--- a/internal/workflow/planner/jobstart.go
+++ b/internal/workflow/planner/jobstart.go
@@ -35,9 +35,9 @@
 	j.started = t == nil || !t.stage.Gang || worked
 }
 
-// recordStartTaken notes that a worker has answered that it has taken a start, in whichever life and whatever has become
+// recordStartAccepted notes that a worker has answered that it has taken a start, in whichever life and whatever has become
 // of the run since.
-func (o Order) recordStartTaken(err error) {
+func (o Order) recordStartAccepted(err error) {
 	if o.Verb != VerbStart || err != nil || o.run == nil {
 		return
 	}
--- a/internal/workflow/planner/order.go
+++ b/internal/workflow/planner/order.go
@@ -183,7 +183,7 @@
 // OrderAnswered takes in what became of an order.
 func (c *Cell) OrderAnswered(order Order, reading cottonlanding.Reading, err error, now cottonlanding.Millis) {
 	c.retractLoss(order, err)
-	order.recordStartTaken(err)
+	order.recordStartAccepted(err)
 	w := c.workers[order.Worker.Life.Worker]
 	if w == nil {
 		return
--- a/internal/workflow/planner/waitingcount_test.go
+++ b/internal/workflow/planner/waitingcount_test.go
@@ -152,9 +152,9 @@
 }
 
 // silenceAll makes all workers silent while they run on, or ends that.
-func (w *world) silenceAll(dark bool) {
+func (w *world) silenceAll(silent bool) {
 	for _, worker := range w.workers {
-		w.runner.Dark(worker.ID, dark)
+		w.runner.Dark(worker.ID, silent)
 	}
 }
 
