--- a/internal/workflow/planner/bench_test.go
+++ b/internal/workflow/planner/bench_test.go
@@ -14,11 +14,10 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// busyDay feeds a cell with more work than its workers can carry, as on the
-// heaviest days of the users' platform.
+// busyDay drives a cell with more work than its workers can carry, as on the busiest days in production.
 type busyDay struct {
 	cell *planner.Cell
-	// scale is how many times as many workers there are as on the usual day.
+	// scale is the number of workers as a multiple of busyWorkers.
 	scale   int
 	random  *rand.Rand
 	now     cottonlanding.Millis
@@ -27,7 +26,7 @@
 	workers []*busyWorker
 }
 
-// busyWorker is a worker that runs what it is told.
+// busyWorker is a worker that carries out its orders.
 type busyWorker struct {
 	id      cottonlanding.WorkerID
 	running []busyRun
@@ -44,12 +43,12 @@
 const (
 	busyWorkers = 48
 	busyTurn    = 15 * cottonlanding.Millis(1)
-	busyPolls   = 2 // a second and worker
+	busyPolls   = 2 // per second and worker
 )
 
 func newBusyDay() *busyDay { return newBusyDayOf(busyWorkers) }
 
-// newBusyDayOf returns a day with as much work for each worker as newBusyDay.
+// newBusyDayOf returns a busyDay for a number of workers, with the same load for each worker as newBusyDay.
 func newBusyDayOf(workers int) *busyDay {
 	d := &busyDay{
 		scale: workers / busyWorkers,
@@ -97,7 +96,7 @@
 	d.cell.Submit(w, d.now, func(error) {})
 }
 
-// runSecond plays one runSecond.
+// runSecond plays one second.
 func (d *busyDay) runSecond() {
 	turns := int(cottonlanding.Second / busyTurn)
 	for turn := range turns {
@@ -118,7 +117,7 @@
 	}
 }
 
-// poll lets a worker tell what it runs.
+// poll reports the runs of a worker to the cell.
 func (d *busyDay) poll(w *busyWorker) {
 	report := cottonlanding.RunReport{Reading: cottonlanding.Reading(d.now)}
 	w.running = slices.DeleteFunc(w.running, func(r busyRun) bool {
@@ -145,7 +144,7 @@
 	w.ended = append(w.ended, cottonlanding.RunEnd{Serial: w.serial, RunKey: key, Kind: kind})
 }
 
-// turn decides, commits and carries out the orders.
+// turn lets the cell decide, commits its plan and carries out its orders.
 func (d *busyDay) turn() {
 	d.cell.Decide(d.now, int64(d.now))
 	if plan := d.cell.Plan(d.now); plan != nil {
@@ -171,7 +170,7 @@
 	}
 }
 
-// BenchmarkBusySecond times the decisions of one second of an overloaded day.
+// BenchmarkBusySecond measures the decisions of one second under overload.
 func BenchmarkBusySecond(b *testing.B) {
 	d := newBusyDay()
 	for range b.N {
@@ -179,8 +178,8 @@
 	}
 }
 
-// BenchmarkCell times the decisions of one second for cells of several sizes, each with as
-// much work a worker: one cell of a deployment of 1,100 workers, one of five, of fifteen.
+// BenchmarkCell measures the decisions of one second for cells of several sizes with the same load for each worker,
+// such as the only cell of a deployment of 1,100 workers, or one of its five or fifteen cells.
 func BenchmarkCell(b *testing.B) {
 	for _, workers := range []int{1104, 240, 96, 48} {
 		b.Run(fmt.Sprintf("Workers=%d", workers), func(b *testing.B) {
--- a/internal/workflow/planner/doublestart_test.go
+++ b/internal/workflow/planner/doublestart_test.go
@@ -13,25 +13,24 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// recordGrace is how long after the note of an end a start may still come. Source: the
-// users' rule on second starts.
+// recordGrace is how long after the end of a run is recorded another start of its task may still arrive without
+// breaking the platform's rule on second starts.
 const recordGrace = cottonlanding.Second
 
-// runStart is a start that a worker took.
+// runStart is a start that a worker accepted.
 type runStart struct {
 	number cottonlanding.RunNumber
 	at     cottonlanding.Millis
 }
 
-// listedEnd is an end that a worker listed and nobody has told it to forget.
+// listedEnd is a successful end that a worker listed and has not been told to forget.
 type listedEnd struct {
 	key cottonlanding.RunKey
 	at  cottonlanding.Millis
 }
 
-// startChecker judges what passes between owners and workers: no task may be started again
-// whose end was taken note of. The note of an end doesn't count when the worker's
-// lease ran out between the two.
+// startChecker checks that no task is started again after its successful end was recorded. A recorded end doesn't count
+// if the worker's lease expired between the end and its recording.
 type startChecker struct {
 	w            *world
 	starts       map[cottonlanding.TaskRef][]runStart
@@ -53,14 +52,14 @@
 	}
 }
 
-// offset is what addWorker gives the worker's clock.
+// offset returns the offset that addWorker gives to a worker's clock.
 func offset(id cottonlanding.WorkerID) cottonlanding.Millis {
 	number := 0
 	_, _ = fmt.Sscanf(string(id), "w%d", &number)
 	return cottonlanding.Millis(10_000 * number)
 }
 
-// recordLease takes in a lease that reached a worker, on the worker's clock.
+// recordLease records a lease that reached a worker, given on the worker's clock.
 func (s *startChecker) recordLease(id cottonlanding.WorkerID, until cottonlanding.Reading) {
 	lease := cottonlanding.Millis(until) - offset(id)
 	if expired := s.leases[id]; expired > 0 && expired <= s.w.now {
@@ -77,7 +76,7 @@
 	return slices.ContainsFunc(s.lapses[id], func(at cottonlanding.Millis) bool { return at >= from })
 }
 
-// start sends a start to the worker and judges it, if it had an effect.
+// start sends a start to the worker and checks it if it had an effect.
 func (s *startChecker) start(order planner.Order) (cottonlanding.Reading, error) {
 	before := s.w.runner.Starts()
 	reading, err := s.w.runner.Start(context.Background(), order.Worker, order.Start)
@@ -90,13 +89,13 @@
 	task := order.Start.Task
 	s.starts[task] = append(s.starts[task], runStart{order.Start.Number, s.w.now})
 	if note, found := s.recordedEnds[task]; found && s.w.now > note.at+recordGrace {
-		s.violations = append(s.violations, fmt.Sprintf("run %d of %s starts at %s; the end of run %d was noted at %s",
+		s.violations = append(s.violations, fmt.Sprintf("run %d of %s starts at %s; the end of run %d was recorded at %s",
 			order.Start.Number, task, s.w.now, note.number, note.at))
 	}
 	return reading, err
 }
 
-// poll asks the worker and judges what it is told to forget.
+// poll polls a worker and checks the ends that it is told to forget.
 func (s *startChecker) poll(id cottonlanding.WorkerID, answered bool) {
 	next, found := s.w.cell.NextPoll(id, s.w.now)
 	if !found || next.After > 0 {
@@ -148,14 +147,14 @@
 		s.recordedEnds[end.key.Task] = runStart{end.key.Number, s.w.now}
 		for _, start := range s.starts[end.key.Task] {
 			if start.number > end.key.Number {
-				s.violations = append(s.violations, fmt.Sprintf("run %d of %s started at %s; run %d had ended at %s, which is noted at %s",
+				s.violations = append(s.violations, fmt.Sprintf("run %d of %s started at %s; run %d had ended at %s, which is recorded at %s",
 					start.number, end.key.Task, start.at, end.key.Number, end.at, s.w.now))
 			}
 		}
 	}
 }
 
-// orders is world's, with starts judged.
+// orders is world.orders with all starts checked.
 func (s *startChecker) orders(fault func() string) {
 	for _, order := range s.w.cell.Orders(s.w.now) {
 		var reading cottonlanding.Reading
@@ -184,10 +183,9 @@
 	return s.w.send(order)
 }
 
-// TestRecordedEndsAreFinal plays workers that refuse, fall silent, leave the list while
-// they work on, come back, end and are replaced, and owners that follow each other,
-// with more changes than one transaction takes. A task whose good end was taken note
-// of must not have been started again, nor be started later.
+// TestRecordedEndsAreFinal guards against a task that runs again after its successful end was recorded. Workers refuse
+// orders, fall silent, leave the list while they run tasks, return, end and are replaced; owners change, and more
+// changes are due than one transaction takes.
 func TestRecordedEndsAreFinal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -295,15 +293,11 @@
 	})
 }
 
-// TestLateOwnerToleratesLostAnswer checks that an owner which comes long after its
-// predecessor doesn't take a worker's runs for lapsed because one answer didn't
-// reach it in time: the worker has listed the good ends in that answer, which the
-// users' rules count as taking note of them, and nothing may be started again.
-//
-// It fails: a look that got no answer counts as having asked, like one that was
-// answered. An owner that has just read all rows asks hundreds of workers at once,
-// and with a small share of a processor or a slow link it hears none of them within
-// a look's time.
+// TestLateOwnerToleratesLostAnswer guards against an owner that takes over late and gives up a worker's runs after a
+// single lost answer, because a failed poll counts as an answered one. The worker has listed successful ends in that
+// answer, which counts as recording them, so that nothing may be started again. A lost answer is likely then: an owner
+// that has just read all rows polls hundreds of workers at once, and with a small share of a processor or a slow link
+// it may receive none of the answers in time.
 func TestLateOwnerToleratesLostAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -326,9 +320,9 @@
 		for range rapid.IntRange(1, 5).Draw(t, "Turns") {
 			w.decide(50)
 		}
-		w.now += 300 // the pause after a look that failed
+		w.now += 300 // past the retry interval of a failed poll
 		w.pollAll()
 		w.settle()
-		require.Equal(t, tasks, w.runner.Starts(), "a task whose good end was listed was started again")
+		require.Equal(t, tasks, w.runner.Starts(), "a task was started again after its successful end was listed")
 	})
 }
--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -9,10 +9,10 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TaskRow is how a task is kept, for tests of the format.
+// TaskRow exposes the stored form of a task.
 type TaskRow = taskRow
 
-// The rows, for tests of the format.
+// The stored rows, exposed for tests of their format.
 type (
 	SpecRow     = specRow
 	StateRow    = stateRow
@@ -22,25 +22,25 @@
 	ReferralRow = referralRow
 )
 
-// EncodeRow is encode for tests of the format.
+// EncodeRow exposes the encoding of rows.
 var EncodeRow = encode
 
 // TaskAssigned is the state of a task that was placed.
 const TaskAssigned = taskAssigned
 
-// TaskStates returns the states of a task; that of one which a cell runs is the last.
+// TaskStates returns all states of a task; the last is that of a task delegated to the given cell.
 func TaskStates(cell cottonlanding.CellNumber) []any {
 	return []any{taskWaiting, taskAssigned, taskDone, taskNotHeld, delegatedState(cell)}
 }
 
-// GuestRowKeys returns the keys of a guest's rows.
+// GuestRowKeys returns the keys of the rows of a delegated workflow.
 func GuestRowKeys(p cottonlanding.Partition, id cottonlanding.WorkflowID) (spec, state cottonlanding.Key) {
 	guest := &job{Workflow: cottonlanding.Workflow{ID: id}, delegatedBy: new(cottonlanding.CellNumber)}
 	return (&Cell{setup: Setup{Partition: p}}).rowKeys(guest)
 }
 
-// Fingerprint describes what the cell believes of its workers and tasks, without instants: two
-// cells with the same one go on alike.
+// Fingerprint describes the cell's view of its workers and tasks without times: two cells with the same fingerprint
+// behave alike.
 func (c *Cell) Fingerprint(now cottonlanding.Millis) string {
 	var out strings.Builder
 	for _, w := range c.sortedWorkers() {
@@ -66,7 +66,7 @@
 	return out.String()
 }
 
-// Readings returns what the cell knows of the clock of each life that has answered.
+// Readings returns the last clock reading of each life that has answered.
 func (c *Cell) Readings() map[cottonlanding.Life]cottonlanding.Reading {
 	out := make(map[cottonlanding.Life]cottonlanding.Reading)
 	for _, w := range c.sortedWorkers() {
@@ -75,14 +75,15 @@
 	return out
 }
 
-// MarkDirty has the row of a workflow written with the next plan.
+// MarkDirty adds the row of a workflow to the next plan.
 func (c *Cell) MarkDirty(id cottonlanding.WorkflowID) {
 	if j := c.jobs[id]; j != nil {
 		c.markDirty(j)
 	}
 }
 
-// RowBytes returns how many bytes the row of a workflow takes without texts, and what is counted for it.
+// RowBytes returns the length of a workflow's row without checkpoints, and the bound that is computed for it, both in
+// bytes.
 func (c *Cell) RowBytes(id cottonlanding.WorkflowID) (bytes, counted int) {
 	j := c.jobs[id]
 	if j == nil {
@@ -97,23 +98,23 @@
 	return len(encode(row)), all.bytes()
 }
 
-// OpenLives counts the workers of which the cell waits for news.
+// OpenLives counts the workers whose open lives the cell still has to resolve.
 func (c *Cell) OpenLives() int { return len(c.openLivesByWorker) }
 
-// DescribeTask tells where a task stands, and what keeps it from each worker.
+// DescribeTask describes the state of a task, and what rules each worker out for it.
 func (c *Cell) DescribeTask(ref cottonlanding.TaskRef, now cottonlanding.Millis) string {
 	j := c.jobs[ref.Workflow]
 	if j == nil {
-		return "not known"
+		return "unknown workflow"
 	}
 	t := j.task(ref)
 	var out strings.Builder
-	fmt.Fprintf(&out, "job %s, task state %q, number %d, waits since %d, crashes %v, open life %s, awaits news %t",
+	fmt.Fprintf(&out, "job %s, task state %q, number %d, waits since %d, crashes %v, open life %s, waits for it to be resolved %t",
 		j.state, t.state, t.number, t.waitingSince, t.crashes, t.openLife.String(), t.awaitsOpenLife(now))
 	if r := t.run; r != nil {
 		w := r.worker
-		fmt.Fprintf(&out, ", run %d on %s born %d: phase %d, doubtful %t, ordered %t, next try %d, sent %d, copies %d, stopping %t (%s), "+
-			"stop taken %d; its worker listed %t, answered %d, failed %t, bound %d, asked %t, state %s",
+		fmt.Fprintf(&out, ", run %d on %s born %d: phase %d, start unconfirmed %t, order in flight %t, next try %d, sent %d, retries %d, stopping %t (%s), "+
+			"stop acknowledged %d; its worker listed %t, last answer %d, poll failed %t, lease bound %d, polled %t, state %s",
 			r.Number, w.info.ID, r.born, r.phase, r.startUnconfirmed, r.orderInFlight, r.nextTry, r.sentAt, r.retriesSincePoll, r.stopping, r.stopReason,
 			r.lastStopAckAt, w.listed, w.lastAnswerAt, w.pollFailed, w.leaseBound, w.polled, w.info.State)
 	}
@@ -125,15 +126,15 @@
 	return out.String()
 }
 
-// describeRejection names the first gate that keeps a task from a worker.
+// describeRejection returns the first reason that rules a worker out for a task.
 func (c *Cell) describeRejection(t *task, w *worker, now cottonlanding.Millis) string {
 	room := c.room(w, now)
 	switch {
 	case !w.usable(now):
-		return fmt.Sprintf("unusable: listed %t, described %t, cordoned %t, reachable %t, blocked until %d",
+		return fmt.Sprintf("unusable: listed %t, entry current %t, cordoned %t, reachable %t, blocked until %d",
 			w.listed, w.entryIsCurrent(), w.cordoned(), w.reachable(now), w.startsBlockedUntil)
 	case !c.allowed(t, w, now):
-		return "barred"
+		return "not allowed"
 	case !t.stage.Reserved().Fits(room.free):
 		runs := make([]string, 0, w.runs.size())
 		for _, r := range w.runs.all() {
@@ -141,16 +142,16 @@
 		}
 		return fmt.Sprintf("full: free %d, runs %v", room.free.CPU, runs)
 	case w.heldFrom(t, now):
-		return "kept for " + w.heldFor.ref.String()
+		return "held for " + w.heldFor.ref.String()
 	case c.blockedByIsolation(t, w, now):
-		return "kept apart"
+		return "blocked by isolation"
 	case c.reservedForOthers(t, w, now):
-		return "due to others"
+		return "reserved for others"
 	}
 	return "free"
 }
 
-// DownFor returns how long a task hasn't been seen at work.
+// DownFor returns for how long a task hasn't been seen running.
 func (c *Cell) DownFor(ref cottonlanding.TaskRef, now cottonlanding.Millis) cottonlanding.Millis {
 	return now - c.jobs[ref.Workflow].task(ref).downSince()
 }
--- a/internal/workflow/planner/faults_test.go
+++ b/internal/workflow/planner/faults_test.go
@@ -12,8 +12,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestFaults lets orders, answers, workers and owners fail in all orders and checks
-// that no task runs twice and that every accepted workflow comes to its end.
+// TestFaults lets orders, answers, workers and owners fail in random order and checks that no task runs twice and that
+// every accepted workflow becomes final.
 func TestFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -88,7 +88,7 @@
 		for range 4 {
 			w.commit()
 		}
-		for number := range submitted { // or lasting tasks may hold all the room
+		for number := range submitted { // otherwise lasting tasks may hold all the room
 			w.cell.Cancel(cottonlanding.WorkflowID(fmt.Sprintf("l%d", number+1)), w.now, func(error) {})
 		}
 		w.settle()
@@ -104,9 +104,8 @@
 	})
 }
 
-// TestLateOwnerPollsBeforeLapse checks that an owner which comes long after its
-// predecessor hears from the workers what ended well meanwhile, before it takes
-// their runs for lapsed and starts the tasks again.
+// TestLateOwnerPollsBeforeLapse guards against an owner that takes over late and starts tasks again that succeeded in
+// the meantime. It must learn of these ends from the workers before it treats their leases as expired.
 func TestLateOwnerPollsBeforeLapse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -126,12 +125,12 @@
 		}
 		w.pollAll()
 		w.settle()
-		require.Equal(t, tasks, w.runner.Starts(), "a task that was done was started again")
+		require.Equal(t, tasks, w.runner.Starts(), "a finished task was started again")
 	})
 }
 
-// TestLateEndCounts checks that a task whose run was given up, and was done all the
-// same, isn't run again after its worker has told of it.
+// TestLateEndCounts guards against a task that runs again although the run that was given up succeeded and its worker
+// has reported that.
 func TestLateEndCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -154,14 +153,14 @@
 		}
 		dark(false)
 		w.settle()
-		require.Equal(t, tasks, w.runner.Starts(), "a task that was done was started again")
+		require.Equal(t, tasks, w.runner.Starts(), "a finished task was started again")
 		state, _ := w.cell.State("b")
 		require.Equal(t, cottonlanding.WorkflowSucceeded, state)
 	})
 }
 
-// TestStartToLeavingWorkerIsDropped checks that a run which was placed, and whose
-// commit took long, isn't started on a worker that has said meanwhile that it leaves.
+// TestStartToLeavingWorkerIsDropped guards against starting a run on a worker that has announced its leaving while the
+// commit of the placement was in flight.
 func TestStartToLeavingWorkerIsDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -169,7 +168,7 @@
 			w.turn(50)
 		}
 		w.submit("b", "Bulk", cottonlanding.Step{Tasks: 8, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}, Estimate: 500})
-		w.makePlan() // placed, and its commit is under way
+		w.makePlan() // placed, with its commit in flight
 		for at := range w.workers {
 			w.workers[at].State = cottonlanding.Leaving
 		}
@@ -188,8 +187,8 @@
 	})
 }
 
-// TestBulkChangeCommitsAmongUrgentOnes checks that a change of a less urgent job is
-// committed soon although more urgent ones change than one transaction takes.
+// TestBulkChangeCommitsAmongUrgentOnes guards against the change of a less urgent job that is never committed because
+// more urgent changes always fill the transaction.
 func TestBulkChangeCommitsAmongUrgentOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -197,7 +196,7 @@
 		w.submit("bulk", "Bulk", step)
 		plans := 0
 		for ; !w.accepted["bulk"]; plans++ {
-			require.Less(t, plans, 8, "the less urgent job is never accepted")
+			require.Less(t, plans, 8, "the less urgent workflow is never accepted")
 			for number := range rapid.IntRange(60, 100).Draw(t, "Urgent") {
 				w.submit(cottonlanding.WorkflowID(fmt.Sprintf("u%d-%d", plans, number)), "Urgent", step)
 			}
@@ -207,8 +206,8 @@
 	})
 }
 
-// TestRepeatedStopRulesOutRun checks that a run which a worker has ruled out is
-// given up although the stop is repeated more often than the worker is looked at.
+// TestRepeatedStopRulesOutRun guards against a run that its worker has ruled out but that is never given up, because
+// its stop is repeated more often than the worker is polled.
 func TestRepeatedStopRulesOutRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -241,6 +240,6 @@
 				pollWorkers()
 			}
 		}
-		require.Equal(t, 1, w.runner.Starts(), "the task is never run")
+		require.Equal(t, 1, w.runner.Starts(), "the task never ran")
 	})
 }
--- a/internal/workflow/planner/longids_test.go
+++ b/internal/workflow/planner/longids_test.go
@@ -7,9 +7,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A row holds the id of the worker of each task that is placed. Ids are keys of the platform's, of up to 200 bytes;
-// with such of 60 the row of a large workflow, all of whose tasks run, was longer than the table takes. It was
-// accepted when it was short, and the owner lost its cell with the commit of its placements.
+// TestRowsWithLongWorkerIDsFit guards against a state row that outgrows the table's limit when its tasks are placed.
+// The row holds the worker's id for each placed task, and ids have up to 200 bytes: with ids of 60 bytes a large
+// workflow was accepted while its row was short, and the owner lost the cell with the commit of the placements.
 func TestRowsWithLongWorkerIDsFit(t *testing.T) {
 	const tasks, idLength = 1000, 60
 	worker := cottonlanding.WorkerInfo{
@@ -19,7 +19,8 @@
 	cell := cellOf("Q")
 	cell.SetWorkers([]cottonlanding.WorkerInfo{worker}, 1000)
 	step := cottonlanding.Step{Tasks: tasks, Resources: cottonlanding.Resources{CPU: 1}, Lasting: true}
-	cell.Submit(cottonlanding.Workflow{ID: "large", Queue: "Q", Steps: []cottonlanding.Step{step}}, 1000, func(error) {}) // it may be refused
+	// Submit may refuse the workflow.
+	cell.Submit(cottonlanding.Workflow{ID: "large", Queue: "Q", Steps: []cottonlanding.Step{step}}, 1000, func(error) {})
 	for now := cottonlanding.Millis(1000); now < 4000; now += 100 {
 		if next, found := cell.NextPoll(worker.ID, now); found {
 			cell.PollAnswered(next, cottonlanding.RunReport{Born: worker.Born, Reading: cottonlanding.Reading(now)}, now, now)
--- a/internal/workflow/planner/removedqueue_test.go
+++ b/internal/workflow/planner/removedqueue_test.go
@@ -10,9 +10,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// Operators remove a queue of which a workflow waits. It is kept with the queue as that was, and
-// done. Another cell, which has to be told of it as of a new one, refuses a workflow of a queue that
-// it doesn't know: handed over, it was told again and again, and waited for good.
+// TestWorkflowOfRemovedQueueStays guards against handing over a workflow whose queue the operators have removed. This
+// cell keeps the workflow with its last known queue. Another cell refuses a workflow of an unknown queue, so that it
+// would be offered again and again and never run.
 func TestWorkflowOfRemovedQueueStays(t *testing.T) {
 	owner := func() *planner.Cell {
 		return planner.New(planner.Setup{Partition: partition, Epoch: 1}, timing, selector.Default().Planner, discardLog())
@@ -27,6 +27,6 @@
 		cell.SetQueues(cottonlanding.Queues{Version: 2})
 	}
 	for _, workflow := range home.HandOverCandidates(1, 3000) {
-		other.Submit(workflow, 3000, func(err error) { require.NoError(t, err, "the other cell takes what is handed over") })
+		other.Submit(workflow, 3000, func(err error) { require.NoError(t, err, "the other cell accepts the workflow") })
 	}
 }
--- a/internal/workflow/planner/rounds_test.go
+++ b/internal/workflow/planner/rounds_test.go
@@ -7,10 +7,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A workflow's row held the tasks of all its rounds, those that are over too, and only the tasks of
-// one round are bounded when it's handed in. So one client's schedule made a row that the table refused,
-// and with it the owner lost its cell, as did each one after it. Rounds whose first time lies
-// far back are due all at once.
+// TestRowsOfManyRoundsFit guards against a schedule whose state row outgrows the table's limit because it lists the
+// tasks of all rounds, finished ones included. Admission bounds only the tasks of one round, and all rounds are due at
+// once if the first time is long past. The table refuses such a row, and each owner loses the cell with it.
 func TestRowsOfManyRoundsFit(t *testing.T) {
 	for _, one := range []struct{ tasks, rounds int }{{1, 30_000}, {1000, 30}} {
 		t.Run(fmt.Sprintf("%d rounds of %d", one.rounds, one.tasks), func(t *testing.T) {
--- a/internal/workflow/planner/spec_test.go
+++ b/internal/workflow/planner/spec_test.go
@@ -9,10 +9,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestOversizedWorkflowIsRefused: a client may put any text into a label, and all of a
-// workflow but its state stands in one row. A row that the table refuses takes the cell from its
-// owner, and the next one gets the same workflow as soon as its client asks again: one client
-// would stop a cell. So it is told at once that such a workflow can't run.
+// TestOversizedWorkflowIsRefused guards against a workflow whose immutable row outgrows the table's limit, for instance
+// by a long label. The table refuses such a row, and the owner loses the cell; so does each next owner when the client
+// submits the workflow again. Submit must refuse it with ErrCannotRun instead.
 func TestOversizedWorkflowIsRefused(t *testing.T) {
 	cell := cellOf("Urgent")
 	submit := func(id cottonlanding.WorkflowID, label string) error {
--- a/internal/workflow/planner/stop_test.go
+++ b/internal/workflow/planner/stop_test.go
@@ -21,8 +21,8 @@
 	return out
 }
 
-// TestStopPrecedesStartAnswer: a stop is due at once though the start of its run
-// has no answer yet. Whichever the worker takes first, the run doesn't go on.
+// TestStopPrecedesStartAnswer guards against a stop that waits for the answer to the start of its run. The run must end
+// whichever of the two the worker handles first.
 func TestStopPrecedesStartAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestNewOwnerStopsBeforeFirstPoll: what a cancelled workflow still runs is stopped by a
-// new owner before its worker has been heard.
+// TestNewOwnerStopsBeforeFirstPoll guards against a new owner that stops the runs of a cancelled workflow only after
+// their worker has answered a poll.
 func TestNewOwnerStopsBeforeFirstPoll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -70,8 +70,8 @@
 	})
 }
 
-// TestObsoleteRetryIsStopped: a start whose answer was lost may have
-// been carried out; that its repetition wasn't sent says nothing of it.
+// TestObsoleteRetryIsStopped guards against a run that goes on because the retry of its start was obsolete and not
+// sent. The first start, whose answer was lost, may have been carried out.
 func TestObsoleteRetryIsStopped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -94,13 +94,13 @@
 			_, err := w.send(stop)
 			require.NoError(t, err)
 		}
-		require.Zero(t, w.runner.Lasting(), "the run of the start whose answer was lost")
+		require.Zero(t, w.runner.Lasting(), "the run whose start answer was lost goes on")
 	})
 }
 
-// TestLateStartOfCancelledTaskIsStopped: a worker carries out a start long after its
-// workflow was cancelled. The run is stopped within seconds, also by an owner that knows
-// nothing of it, and after the workflow's rows are gone.
+// TestLateStartOfCancelledTaskIsStopped guards against a run that a worker starts long after its workflow was
+// cancelled. It must be stopped within seconds, also by an owner that doesn't know the run, and after the workflow's
+// rows are deleted.
 func TestLateStartOfCancelledTaskIsStopped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -119,7 +119,7 @@
 			w.takeOver()
 			w.play(cottonlanding.Millis(rapid.IntRange(0, 8).Draw(t, "Later")) * cottonlanding.Second)
 		}
-		_, _ = w.send(w.late[0]) // a worker that was told to stop it refuses
+		_, _ = w.send(w.late[0]) // a worker that has received the stop refuses it
 		w.late = nil
 		w.play(3 * cottonlanding.Second)
 		require.Zero(t, w.runner.Lasting())
--- a/internal/workflow/planner/taskrow_test.go
+++ b/internal/workflow/planner/taskrow_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestTaskRowKeepsCrashEvidence: what is charged to a task, and what may still prove that wrong, went with the
-// owner that knew it. Rows without the newer fields are read as they were written.
+// TestTaskRowKeepsCrashEvidence guards against a change of owner that loses the losses counted against a task, or the
+// evidence that may still refute them. Rows without the newer fields must be read as before.
 func TestTaskRowKeepsCrashEvidence(t *testing.T) {
 	life := cottonlanding.Life{Worker: "w1", Born: 1750000001000}
 	for name, row := range map[string]planner.TaskRow{
--- a/internal/workflow/planner/waitingcount_test.go
+++ b/internal/workflow/planner/waitingcount_test.go
@@ -13,11 +13,10 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// absentLabel is one that no worker has.
+// absentLabel is a label that no worker has.
 const absentLabel cottonlanding.Label = "Absent"
 
-// notBegun counts the workflows of a queue whose acceptance is committed, that go on, and of which no worker has ever
-// begun a task.
+// notBegun counts the committed, unfinished workflows of a queue of which no worker has begun a task.
 func (w *world) notBegun(queue cottonlanding.QueueName, queueOf map[cottonlanding.WorkflowID]cottonlanding.QueueName) int {
 	count := 0
 	for id, at := range queueOf {
@@ -29,8 +28,8 @@
 	return count
 }
 
-// TestPlacedWorkflowWaitsUntilBegun guards against a count of what waits that goes down as tasks are placed, while
-// their workers take no start: it was zero for workflows none of which had begun.
+// TestPlacedWorkflowWaitsUntilBegun guards against a count of waiting workflows that falls when tasks are placed,
+// although their workers accept no start.
 func TestPlacedWorkflowWaitsUntilBegun(t *testing.T) {
 	const workflows = 30 // of the 32 for which there is room
 	for _, fault := range []string{"lost", "late", "refused"} {
@@ -59,19 +58,20 @@
 					_, _ = w.send(order)
 				}
 				w.pollAll()
-				require.Equal(t, w.notBegun("Bulk", queueOf), w.cell.Waiting("Bulk"), "as looks tell")
+				require.Equal(t, w.notBegun("Bulk", queueOf), w.cell.Waiting("Bulk"), "after a poll")
 				for range 20 {
 					w.turn(100)
 				}
 				require.Equal(t, workflows, w.runner.Starts())
-				require.Zero(t, w.cell.Waiting("Bulk"), "all have begun")
+				require.Zero(t, w.cell.Waiting("Bulk"), "all workflows have begun")
 			})
 		}
 	}
 }
 
-// TestAnyWorkerReportEndsWaiting: a workflow has begun once a worker answers its start, lists its run or lists
-// the end of that, also after the run was given up; the next owner knows of an end from the row.
+// TestAnyWorkerReportEndsWaiting guards against a workflow that counts as waiting after a worker has answered its
+// start, listed its run or listed the end of that, also if the run was given up before. The next owner must know of an
+// end from the row.
 func TestAnyWorkerReportEndsWaiting(t *testing.T) {
 	unanswered := func() string { return "unanswered" }
 	for name, tell := range map[string]func(*world){
@@ -115,7 +115,7 @@
 }
 
 // TestGangWaitsForAllMembers guards against a workflow that counts as begun while its gang waits for members whose
-// starts are lost: the tasks of a gang begin together.
+// starts are lost. The tasks of a gang begin together.
 func TestGangWaitsForAllMembers(t *testing.T) {
 	const members = 3
 	for answered := range members {
@@ -151,16 +151,16 @@
 	}
 }
 
-// silenceAll makes all workers silent while they run on, or ends that.
+// silenceAll makes all workers unreachable while their runs continue, or reachable again.
 func (w *world) silenceAll(silent bool) {
 	for _, worker := range w.workers {
 		w.runner.Dark(worker.ID, silent)
 	}
 }
 
-// TestWaitingCountUnderFaults plays random histories of orders that are lost, late and refused, of workers that
-// crash and fall silent, and of owners. At no moment is the count of what waits below that of the workflows of which
-// no worker has begun a task, and once all goes well it is the same.
+// TestWaitingCountUnderFaults plays random sequences of lost, late and refused orders, crashing and silent workers, and
+// changes of owner. The count of waiting workflows must never be lower than the number of those that no worker has
+// begun, and equal to it once the faults are over.
 func TestWaitingCountUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -182,7 +182,7 @@
 				id := cottonlanding.WorkflowID(fmt.Sprintf("b%d", len(queueOf)))
 				switch rapid.SampledFrom([]string{"short", "lasting", "gang", "unfit"}).Draw(t, "Kind") {
 				case "lasting":
-					if lasting += step.Tasks; lasting > 8 { // all others find room beside them
+					if lasting += step.Tasks; lasting > 8 { // the others must find room beside them
 						return
 					}
 					step.Lasting = true
@@ -238,7 +238,7 @@
 			"": func(t *rapid.T) {
 				known := make(map[cottonlanding.WorkflowID]cottonlanding.QueueName)
 				for id, queue := range queueOf {
-					if !cancelled[id] { // whether a cancellation is committed may not be known yet
+					if !cancelled[id] { // it may be unknown yet whether a cancellation is committed
 						known[id] = queue
 					}
 				}
@@ -257,8 +257,9 @@
 	})
 }
 
-// TestOlderRowsPinPlacedWorkflows: owners of older code and newer ones read each other's rows. What was placed may not
-// leave by either; whether it has begun is known once a worker tells, or from what the row holds of its tasks.
+// TestOlderRowsPinPlacedWorkflows guards against handing over a workflow that an owner of an older version has placed.
+// Owners of both versions read each other's rows. Whether the workflow has begun is known once a worker reports it, or
+// from its tasks in the row.
 func TestOlderRowsPinPlacedWorkflows(t *testing.T) {
 	const older = `{"State":"Running","Begun":true,"Rounds":1,"Tasks":[%s]}`
 	for name, one := range map[string]struct {
@@ -288,11 +289,11 @@
 	}
 }
 
-// olderRow is what older code reads of a row.
+// olderRow is the part of a state row that older versions read.
 type olderRow struct{ Begun bool }
 
-// TestRowPinsPlacedWorkflow guards against an owner of older code that hands over a workflow whose
-// start is on its way.
+// TestRowPinsPlacedWorkflow guards against an owner of an older version that hands over a workflow whose start is in
+// flight.
 func TestRowPinsPlacedWorkflow(t *testing.T) {
 	w := newWorld(t)
 	w.turn(100)
@@ -310,15 +311,15 @@
 	require.Zero(t, w.cell.Waiting("Bulk"))
 }
 
-// rowOf returns a workflow's row as older code reads it.
+// rowOf returns a workflow's row as an older version reads it.
 func (w *world) rowOf(id cottonlanding.WorkflowID) olderRow {
 	var row olderRow
 	require.NoError(w.t, json.Unmarshal(w.rows[planner.StateKey(partition, id)].Value, &row))
 	return row
 }
 
-// TestDelegatedWorkflowWaitsAtDelegator guards against a workflow that no cell counts, or two, while its tasks are delegated
-// and none has begun.
+// TestDelegatedWorkflowWaitsAtDelegator guards against a workflow that is counted as waiting by no cell, or by two,
+// while its tasks are delegated and none has begun.
 func TestDelegatedWorkflowWaitsAtDelegator(t *testing.T) {
 	n := newMultiCell(t, 2, 2)
 	n.turn(100)
--- a/internal/workflow/planner/world_test.go
+++ b/internal/workflow/planner/world_test.go
@@ -21,15 +21,15 @@
 
 const partition cottonlanding.Partition = "Test"
 
-// slowDuration is how long tasks of workflows whose id begins with "slow" last: longer
-// than any room is kept.
+// slowDuration is how long the tasks of workflows whose id begins with "slow" run: longer than any room is held for a
+// task.
 const slowDuration = 30 * cottonlanding.Second
 
-// failingLasting is a workflow of lasting tasks of which each fifth fails once.
+// failingLasting is a workflow of lasting tasks of which every fifth fails once.
 const failingLasting cottonlanding.WorkflowID = "lastingFails"
 
-// failOncePrefix begins the ids of workflows whose tasks last failOnceDuration; their first failOnceFailures runs
-// fail.
+// failOncePrefix begins the ids of workflows whose tasks run for failOnceDuration, and whose first failOnceFailures
+// runs fail.
 const (
 	failOncePrefix                           = "again"
 	failOnceFailures cottonlanding.RunNumber = 1
@@ -39,7 +39,7 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
-		_ = flag.Set("rapid.seed", "20261202") // the same verdict every time
+		_ = flag.Set("rapid.seed", "20261202") // makes the tests repeatable
 	}
 	os.Exit(m.Run())
 }
@@ -48,8 +48,7 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// world plays one cell, its owners one after the other, its table and its workers,
-// all on one clock that the test moves by hand.
+// world simulates one cell, its successive owners, its table and its workers, all on one clock that the test advances.
 type world struct {
 	t       require.TestingT
 	now     cottonlanding.Millis
@@ -60,7 +59,7 @@
 	version cottonlanding.Version
 	workers []cottonlanding.WorkerInfo
 	lives   int
-	// late holds orders that workers carry out later, also after the owner changed.
+	// late holds orders that workers carry out later, possibly after a change of owner.
 	late     []planner.Order
 	accepted map[cottonlanding.WorkflowID]bool
 	queues   cottonlanding.Queues
@@ -68,24 +67,23 @@
 	policy   planner.Policy
 	plan     *planner.Plan
 	log      *slog.Logger
-	// faultyTasks are the tasks that crash each worker that starts them, crashAfter how long
-	// that takes.
+	// faultyTasks are the tasks that crash each worker that starts them, crashAfter is how long after their start.
 	faultyTasks map[cottonlanding.TaskRef]bool
 	crashAfter  cottonlanding.Millis
-	// onStart is called for each start that goes out, unless it is nil.
+	// onStart is called for each start that is sent, unless it is nil.
 	onStart func(planner.Order)
-	// checkpoints has workers list checkpoints and watches what starts bring, unless it is nil.
+	// checkpoints makes workers list checkpoints and checks those that starts carry; nil disables both.
 	checkpoints *checkpointRecorder
-	// ownedFor is for how long owners surely own the cell after each turn; zero doesn't tell them.
+	// ownedFor is for how long ownership of the cell is guaranteed after each turn; zero sets no guarantee.
 	ownedFor cottonlanding.Millis
-	// boundsKeptSince is from which epoch on owners keep to lease bounds, by default the first.
+	// boundsKeptSince is the epoch from which on owners keep to lease bounds; zero is the first.
 	boundsKeptSince cottonlanding.Epoch
 }
 
 func newWorld(t require.TestingT) *world { return newWorldOf(t, selector.Default().Planner) }
 
-// newSpreadWorld returns a world whose owners spread all tasks over the workers, so that
-// a test knows where there is room.
+// newSpreadWorld returns a world whose owners spread all tasks over the workers, so that a test knows where there is
+// room.
 func newSpreadWorld(t require.TestingT) *world {
 	set, err := selector.New(selector.Names{"ShortPlacement": "spread", "LastingPlacement": "spread"})
 	require.NoError(t, err)
@@ -137,7 +135,7 @@
 	})
 }
 
-// addLife adds a worker like info under a new id.
+// addLife adds a worker with the properties of info under a new id.
 func (w *world) addLife(info cottonlanding.WorkerInfo) {
 	w.lives++
 	info.ID = cottonlanding.WorkerID(fmt.Sprintf("w%d", w.lives))
@@ -145,10 +143,10 @@
 	w.workers = append(w.workers, info)
 }
 
-// takeOver makes a new owner from the committed rows.
+// takeOver creates a new owner from the committed rows.
 func (w *world) takeOver() { w.takeOverFrom(w.now) }
 
-// takeOverFrom is takeOver from an owner that had ended by an instant.
+// takeOverFrom creates a new owner after one that had ended by the given time.
 func (w *world) takeOverFrom(before cottonlanding.Millis) {
 	if w.cell != nil {
 		w.cell.Abandon(cottonlanding.ErrAmbiguous)
@@ -171,14 +169,14 @@
 	}
 }
 
-// renewOwnership tells the owner until when it surely owns the cell.
+// renewOwnership sets until when the owner's ownership of the cell is guaranteed.
 func (w *world) renewOwnership() {
 	if w.ownedFor > 0 {
 		w.cell.SetOwnedUntil(w.now + w.ownedFor)
 	}
 }
 
-// tableClock reads the table's clock, which has another beginning.
+// tableClock reads the table's clock, which has another zero.
 func (w *world) tableClock() cottonlanding.TableReading {
 	const ahead, callTime = 5_000_000, 4
 	return cottonlanding.TableReading{Shown: cottonlanding.TableInstant(w.now + ahead), Asked: w.now - callTime, Came: w.now}
@@ -241,7 +239,7 @@
 			w.onStart(order)
 		}
 		if w.checkpoints != nil {
-			order.Start.Checkpoint = "" // the book has listed it, and holds each start against that; the runner has made none
+			order.Start.Checkpoint = "" // the recorder has checked this start; the runner knows none of its checkpoints
 		}
 		return w.runner.Start(ctx, order.Worker, order.Start)
 	case planner.VerbStop:
@@ -298,7 +296,7 @@
 	})
 }
 
-// settle lets everything go well until nothing more happens.
+// settle delivers late orders and plays turns without faults until nothing more happens.
 func (w *world) settle() {
 	for _, order := range w.late {
 		_, _ = w.send(order)
@@ -309,14 +307,14 @@
 	}
 }
 
-// decide lets a while pass, commits and sends what is due; all goes well.
+// decide advances the clock, commits, and sends the due orders without faults.
 func (w *world) decide(span cottonlanding.Millis) {
 	w.now += span
 	w.commit()
 	w.orders(func() string { return "" })
 }
 
-// turn is decide and a look at every worker.
+// turn is decide followed by a poll of every worker.
 func (w *world) turn(span cottonlanding.Millis) {
 	w.decide(span)
 	w.pollAll()
