--- a/internal/workflow/planner/checkpoint.go
+++ b/internal/workflow/planner/checkpoint.go
@@ -6,29 +6,28 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A checkpoint is a text in which a worker says from where a task can be continued, and which a
-// later start brings. Which text that is, is decided here alone:
+// A checkpoint is a text with which a worker says from where a task can be continued, and which a later start
+// passes on. Which checkpoint that is, is decided here alone:
 //
-//   - Only tasks of steps that checkpoint have texts. What is listed for others, or stands in
-//     their rows, counts for nothing.
-//   - A text counts if it is of the run that the task has at that moment, which this owner has
-//     placed or has taken over with the task's row, however that run ends. What is listed of
-//     an orphan, of a run that was given up, or of a task that is done doesn't count. An empty
-//     text takes nothing away.
-//   - A gang has one text, whichever member listed it last, and all members bring it.
-//   - A run is started with the text that was the newest when it was placed, however often its
-//     start is repeated, and by whichever owner. What is listed since then is for the next run.
+//   - Only tasks of steps with Checkpoints have any. What is listed for other tasks, or stored in their rows, is
+//     ignored.
+//   - A checkpoint counts if it is of the current run of its task, which this owner has placed or has loaded with
+//     the task's row, however that run ends. What is listed of a run without a task, of an abandoned run, or of a
+//     task that is done does not count. An empty checkpoint does not replace an earlier one.
+//   - A gang has one checkpoint, whichever member listed it last, and all members are started with it.
+//   - A run is started with the checkpoint that was the newest when it was placed, however often its start is
+//     retried, and by whichever owner. What is listed later is for the next run.
 
-// checkpointSource is how a text became known.
+// checkpointSource is how a checkpoint became known.
 type checkpointSource string
 
 const (
-	checkpointListed checkpointSource = "Listed" // with a run that went on
+	checkpointListed checkpointSource = "Listed" // with a run that was running
 	checkpointEnded  checkpointSource = "Ended"  // with the end of a run
-	checkpointLoaded checkpointSource = "Loaded" // in the row that an owner before has left
+	checkpointLoaded checkpointSource = "Loaded" // in the row that an earlier owner has written
 )
 
-// knownCheckpoint is a text with from where it is known, which the log tells.
+// knownCheckpoint is a checkpoint with its origin, which is logged.
 type knownCheckpoint struct {
 	text   cottonlanding.Checkpoint
 	how    checkpointSource
@@ -37,7 +36,7 @@
 	at     cottonlanding.Millis
 }
 
-// checkpointHolder returns the task that holds the texts: for a gang its first one, whichever listed it,
+// checkpointHolder returns the task that holds the checkpoints: for a gang its first member, whichever listed them,
 // so that all members have the same in memory and in the row.
 func (t *task) checkpointHolder() *task {
 	if t.stage.Gang {
@@ -46,33 +45,38 @@
 	return t
 }
 
-// recordCheckpoint takes in the text that a worker lists for a run.
+// recordCheckpoint records the checkpoint that a worker lists for a run.
 func (r *run) recordCheckpoint(text cottonlanding.Checkpoint, how checkpointSource, now cottonlanding.Millis) {
 	t := r.task
 	if text == "" || t == nil || t.run != r || t.state == taskDone || !t.stage.Checkpoints {
 		return
 	}
-	t.checkpointHolder().checkpoint = knownCheckpoint{text: text, how: how, run: r.Number, worker: r.worker.info.ID, at: now}
+	t.checkpointHolder().checkpoint = knownCheckpoint{
+		text: text, how: how, run: r.Number, worker: r.worker.info.ID, at: now,
+	}
 }
 
-// loadCheckpoint takes in the texts of the task's row. The rows of a gang may hold several, of
-// which the first counts: owners before have kept one for each member. That of its first task
-// may hold only the text with which the gang's run is started. Owners of older code have also
-// kept texts that can't be kept as they are.
+// loadCheckpoint loads the checkpoints of the task's row. The rows of a gang may hold several, of which the first
+// counts: earlier owners stored one for each member. The row of its first member may hold only the checkpoint with
+// which the gang's run is started. Owners of older code have also stored checkpoints that are not valid, which
+// count as none.
 func (t *task) loadCheckpoint(row taskRow, now cottonlanding.Millis) {
 	k := t.checkpointHolder()
 	if !t.stage.Checkpoints || k.checkpoint.text != "" || k.resumeFrom.text != "" {
 		return
 	}
-	k.checkpoint = knownCheckpoint{text: cottonlanding.NewCheckpoint(string(row.Checkpoint)), how: checkpointLoaded, run: row.Number, worker: row.Life.Worker, at: now}
+	k.checkpoint = knownCheckpoint{
+		text: cottonlanding.NewCheckpoint(string(row.Checkpoint)), how: checkpointLoaded,
+		run: row.Number, worker: row.Life.Worker, at: now,
+	}
 	k.resumeFrom = k.checkpoint
 	if row.ResumeFrom != nil {
 		k.resumeFrom.text = cottonlanding.NewCheckpoint(string(*row.ResumeFrom))
 	}
 }
 
-// rowResumeFrom returns the text that the task's row must hold beside the newest one, or nil: the
-// next owner may repeat a start of the present run.
+// rowResumeFrom returns the checkpoint that the task's row must hold beside the newest one, or nil: the next owner
+// may retry a start of the current run.
 func (t *task) rowResumeFrom() *cottonlanding.Checkpoint {
 	if t.resumeFrom.text == t.checkpoint.text || !t.hasPlacedRun() {
 		return nil
@@ -80,14 +84,14 @@
 	return &t.resumeFrom.text
 }
 
-// startsRun reports whether the newest text is the one with which the present run of the task,
-// or of its gang, is started.
+// startsRun reports whether the newest checkpoint is the one with which the current run of the task, or of its
+// gang, is started.
 func (t *task) startsRun() bool {
 	return t.checkpoint.text != "" && t.resumeFrom.text == t.checkpoint.text && t.hasPlacedRun()
 }
 
-// hasPlacedRun reports whether the task has a run that may still be to be started, or another member
-// of the gang for which it holds the texts.
+// hasPlacedRun reports whether the task, or another member of the gang for which it holds the checkpoints, has a
+// run that may still have to be started.
 func (t *task) hasPlacedRun() bool {
 	if !t.stage.Gang {
 		return t.state == taskAssigned
@@ -95,14 +99,14 @@
 	return slices.ContainsFunc(t.stage.tasks, func(member *task) bool { return member.state == taskAssigned })
 }
 
-// pinCheckpoint has the run that is being placed begin with the newest text. The members of a
-// gang are placed at one instant, between two lists.
+// pinCheckpoint makes the run that is being placed start with the newest checkpoint. The members of a gang are
+// placed at one instant, so that no report comes in between.
 func (t *task) pinCheckpoint() {
 	k := t.checkpointHolder()
 	k.resumeFrom = k.checkpoint
 }
 
-// startCheckpoint returns what each start of a task's present run brings, and logs it.
+// startCheckpoint returns the checkpoint for each start of a task's current run, and logs it.
 func (c *Cell) startCheckpoint(w *worker, r *run, now cottonlanding.Millis) cottonlanding.Checkpoint {
 	from := r.task.checkpointHolder().resumeFrom
 	if from.text != "" {
--- a/internal/workflow/planner/down.go
+++ b/internal/workflow/planner/down.go
@@ -6,37 +6,38 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A lasting task that has run is missed by its users until it runs again. What keeps it waiting for the
-// sake of others ends in time for a start, counted from when its run was last seen at work: that a run
-// has ended may be known a whole lease later. docs/design/lasting-tasks.md adds up all waits.
+// A lasting task that has run is down until it runs again. Waits for the sake of other tasks are bounded from the
+// instant at which its run was last seen running, since the end of a run may become known a whole lease later.
+// docs/design/lasting-tasks.md adds up all waits.
 
 const (
-	// maxDowntime is how long a lasting task may be down. Source: the users' rule on lost tasks: six seconds
-	// after its last run, and three of calm.
+	// maxDowntime is how long a lasting task may be down: by the users' rule on lost tasks, six seconds after its
+	// last run and three undisturbed seconds.
 	maxDowntime = 9 * cottonlanding.Second
-	// maxDeferral is how long after its run was last seen a task may be kept waiting for the sake of
-	// others. What is left of mostDown is for making room and for the start.
+	// maxDeferral is how long after its run was last seen a task may be kept waiting for the sake of others. The
+	// rest of maxDowntime is for preemption and for the start.
 	maxDeferral = 7 * cottonlanding.Second
-	// startTimeout is how long a lasting task stays with a worker that doesn't tell of its start while
-	// others have room: for two starts without an answer. lastStartPatience is the same for one that
-	// must run again, for one start.
+	// startTimeout is how long a lasting task stays with a worker that does not confirm its start while others have
+	// room: long enough for two starts without an answer. urgentStartTimeout is the same for a task that must run
+	// again, long enough for one start.
 	startTimeout       = 2250 * cottonlanding.Millis(1)
 	urgentStartTimeout = cottonlanding.Second
-	// maxStartTimeoutDoublings is how often the patience is doubled, once for each worker that a task has left in vain: where
-	// all workers carry out their orders late, a task that left each of them would never run.
+	// maxStartTimeoutDoublings bounds how often startTimeout is doubled, once for each worker that a task has left
+	// without running: where all workers execute their orders late, a task that left each of them in turn would
+	// never run.
 	maxStartTimeoutDoublings = 3
-	// maxAbandonedPerDecision bounds the tasks for which other workers are looked for in one decision.
+	// maxAbandonedPerDecision bounds the tasks for which another worker is sought in one decision.
 	maxAbandonedPerDecision = 10
 )
 
-// recordRunning notes that the run was at work at an instant.
+// recordRunning records that the run was seen running.
 func (r *run) recordRunning(now cottonlanding.Millis) {
 	if t := r.task; t != nil && t.run == r {
 		t.lastRunningAt, t.abandonedStarts = now, 0
 	}
 }
 
-// downSince returns when the task was last known to run or, if it never did, when it began to wait.
+// downSince returns when the task was last known to run or, if it never ran, when it began to wait.
 func (t *task) downSince() cottonlanding.Millis {
 	if t.lastRunningAt > 0 {
 		return t.lastRunningAt
@@ -44,13 +45,13 @@
 	return t.waitingSince
 }
 
-// mustRunAgain reports whether a lasting task that has run may not be kept waiting for the sake of others any more.
+// mustRunAgain reports whether a lasting task that has run may no longer be kept waiting for the sake of others.
 func (t *task) mustRunAgain(now cottonlanding.Millis) bool {
 	return t.stage.Lasting && !t.stage.Fills && t.number > 0 && now-t.downSince() >= maxDeferral
 }
 
-// abandonOverdueStarts stops the runs of lasting tasks of whose start their workers don't tell, though they answer looks, where
-// another worker has room. The task is placed there once the run is ruled out.
+// abandonOverdueStarts stops runs of lasting tasks whose workers answer polls but do not confirm the start, if
+// another worker has room. The task is placed there once its run is ruled out.
 func (c *Cell) abandonOverdueStarts(now cottonlanding.Millis) {
 	var startOverdue []*task
 	for _, j := range c.openJobs {
@@ -72,7 +73,7 @@
 	}
 }
 
-// effectiveStartTimeout returns how long the task stays with a worker that doesn't tell of its start.
+// effectiveStartTimeout returns how long the task stays with a worker that does not confirm its start.
 func (t *task) effectiveStartTimeout(now cottonlanding.Millis) cottonlanding.Millis {
 	if t.abandonedStarts == 0 && t.mustRunAgain(now) {
 		return urgentStartTimeout
@@ -80,23 +81,24 @@
 	return startTimeout << min(t.abandonedStarts, maxStartTimeoutDoublings)
 }
 
-// startOverdue reports whether the worker of a lasting task has answered a look since the task was first started there, and has
-// not told of the start for long. The members of a gang wait for each other, and stay.
+// startOverdue reports whether the worker of a lasting task has answered a poll since the task was first started
+// there, but has not confirmed the start in time. Members of a gang wait for each other and stay.
 func (t *task) startOverdue(now cottonlanding.Millis) bool {
 	r := t.run
 	if r == nil || r.phase != sent || r.stopping || !t.stage.Lasting || t.stage.Fills || t.stage.Gang {
 		return false
 	}
-	return r.hasUnansweredStart() && now-r.firstSentAt >= t.effectiveStartTimeout(now) && r.worker.reachable(now) && r.worker.lastAnswerAt > r.firstSentAt
+	return r.hasUnansweredStart() && now-r.firstSentAt >= t.effectiveStartTimeout(now) &&
+		r.worker.reachable(now) && r.worker.lastAnswerAt > r.firstSentAt
 }
 
-// hasUnansweredStart reports whether the run's worker has left a start of it unanswered, or now does so with those before it. A
-// start that waits in a busy owner says nothing of its worker.
+// hasUnansweredStart reports whether the worker has left a start of the run unanswered, or now leaves earlier
+// orders unanswered. A start that is queued in a busy owner says nothing about the worker.
 func (r *run) hasUnansweredStart() bool {
 	return r.unansweredStarts > 0 || r.firstSentAt > 0 && r.worker.orderUnanswered
 }
 
-// fitsOnOtherWorker reports whether a worker other than that of its run could take a task.
+// fitsOnOtherWorker reports whether a worker other than that of its run could take the task.
 func (c *Cell) fitsOnOtherWorker(t *task, now cottonlanding.Millis) bool {
 	return slices.ContainsFunc(c.sortedWorkers(), func(w *worker) bool { return w != t.run.worker && c.fits(t, w, now) })
 }
--- a/internal/workflow/planner/downrow.go
+++ b/internal/workflow/planner/downrow.go
@@ -6,29 +6,29 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Since when a lasting task is down decides what it may be kept waiting for. It is written with the
-// bounds of leases, so that a new owner doesn't count from its own beginning.
+// How long a lasting task has been down decides what it may be kept waiting for. The instants are written with the
+// lease bounds, so that a new owner does not count from its own start.
 
 const (
-	// downRecordDelay is how long a task is down before that is written: most run again before.
+	// downRecordDelay is how long a task is down before that is written: most tasks run again earlier.
 	downRecordDelay = 2 * cottonlanding.Second
 	// maxDownRecords bounds the tasks that are written.
 	maxDownRecords = 100
-	// downCheckInterval is how often it is worked out which tasks are down.
+	// downCheckInterval is how often the tasks that are down are determined.
 	downCheckInterval = 250 * cottonlanding.Millis(1)
 )
 
-// downInstants holds since when tasks are down, by the table's clock.
+// downInstants maps tasks to the instants at which they went down, by the table's clock.
 type downInstants map[string]cottonlanding.TableInstant
 
-// downRecord is what of the row tells of tasks that are down.
+// downRecord is the part of the row of lease bounds on tasks that are down.
 type downRecord struct {
-	// stored is what is written, planned what is in the plan under way, required what was worked out at wantedAt.
+	// stored is in the row, planned is in the plan in flight, required was computed at computedAt.
 	stored, planned, required downInstants
 	computedAt                cottonlanding.Millis
 }
 
-// requiredDownRecord returns since when tasks are down, as it should be written.
+// requiredDownRecord returns when tasks went down, as the row should hold it.
 func (c *Cell) requiredDownRecord(now cottonlanding.Millis) downInstants {
 	d := &c.bounds.down
 	if d.computedAt > 0 && now-d.computedAt < downCheckInterval {
@@ -57,7 +57,8 @@
 	return d.required
 }
 
-// inheritSilentSince takes over since when a worker is silent about at least: its lasting tasks may be down since then.
+// inheritSilentSince backdates the downtime of lasting tasks on a worker that has been silent since about the given
+// instant at the latest: they may be down since then.
 func (c *Cell) inheritSilentSince(w *worker, since cottonlanding.Millis) {
 	for _, r := range w.runs.all() {
 		if t := r.task; t != nil && t.run == r && t.stage.Lasting && since < t.downSince() {
@@ -66,8 +67,8 @@
 	}
 }
 
-// downFor returns for how long a lasting task that has run is down, or may be since its worker is silent. It is zero for
-// one that runs or never did.
+// downFor returns how long a lasting task that has run is down, or may be because its worker is silent. It is zero
+// for a task that runs or never ran.
 func (t *task) downFor(now cottonlanding.Millis) cottonlanding.Millis {
 	waits := t.state == taskWaiting || t.run != nil && (t.run.phase < started || t.run.worker.pollFailed)
 	if !waits || !t.stage.Lasting || t.stage.Fills || t.number == 0 {
@@ -76,12 +77,12 @@
 	return now - t.downSince()
 }
 
-// downRecordChanged reports whether what is written of tasks that are down has changed.
+// downRecordChanged reports whether the row has to hold other instants than it does.
 func (c *Cell) downRecordChanged(now cottonlanding.Millis) bool {
 	return !maps.Equal(c.requiredDownRecord(now), c.bounds.down.stored)
 }
 
-// loadDownRecord takes over since when tasks are down. One that runs all the same is seen to by the first look.
+// loadDownRecord loads when tasks went down. The first poll corrects that of a task that runs all the same.
 func (c *Cell) loadDownRecord(spans downInstants, now cottonlanding.Millis) {
 	for name, shown := range spans {
 		ref, err := cottonlanding.ParseTaskRef(name)
--- a/internal/workflow/planner/downtime.go
+++ b/internal/workflow/planner/downtime.go
@@ -7,22 +7,23 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// downtime is the time in which a lasting task that was placed before isn't known to run.
+// downtime is a period in which a lasting task that was placed before is not known to run.
 type downtime struct {
 	task *task
-	// number is that of the run with which it began.
+	// number is that of the run at whose end the downtime began.
 	number cottonlanding.RunNumber
-	// ranAt is when the task was last known to run, zero if this owner never knew, and since is when this owner
-	// took in that it doesn't.
+	// ranAt is when the task was last known to run, zero if this owner never knew. since is when this owner learned
+	// that it does not run.
 	ranAt, since cottonlanding.Millis
-	// logged says that it was logged: not before it's known that the task may have run, and runs no more.
+	// logged says that the beginning was logged, which waits until the task may have run and is known to run no
+	// longer.
 	logged bool
-	// loggedAt is when it was last logged what holds the task back, toldPlaced that it had a worker then.
+	// loggedAt is when it was last logged what blocks the task, loggedPlaced whether it had a worker then.
 	loggedAt     cottonlanding.Millis
 	loggedPlaced bool
 }
 
-// downtimes holds the downtimes of a cell, and what of their beginnings and ends is to be logged.
+// downtimes holds the open downtimes of a cell, and the beginnings and ends that are still to be logged.
 type downtimes struct {
 	open   []*downtime
 	downs  []downLine
@@ -30,10 +31,10 @@
 	budget blockedLogBudget
 }
 
-// unknownDuration is what the log shows for a span of which this owner doesn't know the beginning.
+// unknownDuration is logged for a duration whose beginning this owner does not know.
 const unknownDuration cottonlanding.Millis = -1
 
-// logLocation is where a lasting task ran or runs: the key and the value of the log.
+// logLocation is where a lasting task ran or runs, as key and value of a log line.
 type logLocation struct{ key, value string }
 
 func onWorker(w *worker) logLocation { return logLocation{"Worker", string(w.info.ID)} }
@@ -42,7 +43,7 @@
 	return logLocation{key, cell.String()}
 }
 
-// downLine is a downtime of which something is to be logged.
+// downLine is the beginning or end of a downtime that is to be logged.
 type downLine struct {
 	at     logLocation
 	task   *task
@@ -50,13 +51,13 @@
 	fields []logField
 }
 
-// logField is a key of the log with its value.
+// logField is a key of a log line with its value.
 type logField struct {
 	key   string
 	value any
 }
 
-// elapsedSince returns how long ago an instant was.
+// elapsedSince returns how long ago an instant was, unknownDuration for zero.
 func elapsedSince(at, now cottonlanding.Millis) cottonlanding.Millis {
 	if at == 0 {
 		return unknownDuration
@@ -64,13 +65,14 @@
 	return now - at
 }
 
-// lastConfirmedAt is when the run was last known to go on, zero if it never was.
+// lastConfirmedAt returns when the run was last known to be running, zero if it never was.
 func (r *run) lastConfirmedAt() cottonlanding.Millis { return max(r.listedAt, r.ackedAt) }
 
 // mayHaveRun reports whether the run may have begun on its worker.
 func (r *run) mayHaveRun() bool { return r.lastConfirmedAt() > 0 || r.startUnconfirmed }
 
-// recordDown takes in that the run of a lasting task doesn't go on. It comes before the run is taken off its task.
+// recordDown records that the run of a lasting task does not go on. It is called before the run is detached from
+// its task.
 func (c *Cell) recordDown(r *run, cause string, now cottonlanding.Millis) {
 	t := r.task
 	if t == nil || t.run != r || !t.stage.Lasting || t.job.state.Final() {
@@ -84,7 +86,7 @@
 	}
 }
 
-// endCause returns why a run that nobody lists as ended doesn't go on.
+// endCause returns why a run does not go on although no worker lists it as ended.
 func (r *run) endCause() string {
 	switch {
 	case r.stopping:
@@ -95,8 +97,8 @@
 	return "NotStarted"
 }
 
-// recordLoaded begins the downtime of a lasting task that a new owner has loaded. Of one that was placed nothing is
-// logged until it's known what became of its run.
+// recordLoaded begins the downtime of a lasting task that a new owner has loaded. For a task that was placed,
+// nothing is logged until it is known what became of its run.
 func (c *Cell) recordLoaded(t *task, now cottonlanding.Millis) {
 	if !t.stage.Lasting || t.number == 0 || t.job.state.Final() || t.state != taskWaiting && t.state != taskAssigned {
 		return
@@ -107,7 +109,7 @@
 	}
 }
 
-// recordDelegatedDown begins the downtime of a task that this cell takes for its keeper.
+// recordDelegatedDown begins the downtime of a task that this cell runs for its delegator.
 func (c *Cell) recordDelegatedDown(t *task, now cottonlanding.Millis) {
 	if t.stage.Lasting && t.number > 0 {
 		c.beginDowntime(t, 0, now)
@@ -115,7 +117,7 @@
 	}
 }
 
-// recordReturned takes in that another cell has no run of a task any more, and since when.
+// recordReturned records that the cell to which a task was delegated no longer has a run of it.
 func (c *Cell) recordReturned(t *task, from cottonlanding.CellNumber, now cottonlanding.Millis) {
 	if t.downtime == nil {
 		c.beginDowntime(t, t.waitingSince, now)
@@ -128,7 +130,7 @@
 	c.downtimes.open = append(c.downtimes.open, t.downtime)
 }
 
-// queueDownLine has the beginning of a downtime logged, once.
+// queueDownLine queues the log line on the beginning of a downtime, once per downtime.
 func (c *Cell) queueDownLine(t *task, at logLocation, cause, reason string, now cottonlanding.Millis) {
 	d := t.downtime
 	if d.logged {
@@ -142,7 +144,7 @@
 	c.downtimes.downs = append(c.downtimes.downs, downLine{at, t, t.number, fields})
 }
 
-// recordRuns takes in that a run is known to go on.
+// recordRuns records that a run is known to be running.
 func (c *Cell) recordRuns(r *run, now cottonlanding.Millis) {
 	t := r.task
 	if t == nil || t.downtime == nil || t.run != r {
@@ -152,10 +154,13 @@
 	c.endDowntime(t, downLine{at: onWorker(r.worker), task: t, number: r.Number}, waited, now-r.placedAt, now)
 }
 
-// recordRunsElsewhere takes in that a run of a delegated task goes on in its guest cell.
-func (c *Cell) recordRunsElsewhere(t *task, number cottonlanding.RunNumber, cell cottonlanding.CellNumber, now cottonlanding.Millis) {
+// recordRunsElsewhere records that a run of a delegated task is running in its delegate cell.
+func (c *Cell) recordRunsElsewhere(
+	t *task, number cottonlanding.RunNumber, cell cottonlanding.CellNumber, now cottonlanding.Millis,
+) {
 	if t.downtime != nil {
-		c.endDowntime(t, downLine{at: inCell("GuestCell", cell), task: t, number: number}, unknownDuration, unknownDuration, now)
+		c.endDowntime(t, downLine{at: inCell("GuestCell", cell), task: t, number: number},
+			unknownDuration, unknownDuration, now)
 	}
 }
 
@@ -165,18 +170,18 @@
 	if !d.logged {
 		return
 	}
-	line.fields = []logField{{"DownFor", elapsedSince(d.ranAt, now)}, {"KnownFor", now - d.since}, {"WaitedForPlace", waited},
-		{"PlacedToStarted", starting}, {"Placements", int(line.number - d.number)}}
+	line.fields = []logField{{"DownFor", elapsedSince(d.ranAt, now)}, {"KnownFor", now - d.since},
+		{"WaitedForPlace", waited}, {"PlacedToStarted", starting}, {"Placements", int(line.number - d.number)}}
 	c.downtimes.starts = append(c.downtimes.starts, line)
 }
 
-// isOver reports whether nothing more is to be told of a downtime here.
+// isOver reports whether nothing more is to be logged here about a downtime.
 func (d *downtime) isOver() bool {
 	t := d.task
 	return t.downtime != d || t.job.state.Final() || t.state == taskDone || t.state == taskNotHeld
 }
 
-// logDowntimes logs which lasting tasks began to be down and which run again, a line for each place.
+// logDowntimes logs which lasting tasks went down and which run again, a line for each location.
 func (c *Cell) logDowntimes() {
 	c.logDownLines("lasting task down", "lasting tasks down", c.downtimes.downs)
 	c.logDownLines("lasting task runs again", "lasting tasks run again", c.downtimes.starts)
@@ -187,7 +192,7 @@
 // maxTasksPerLine bounds the tasks that one line lists.
 const maxTasksPerLine = 50
 
-// logDownLines logs one line for each place, which lists its tasks if there are several.
+// logDownLines logs one line for each location, which lists its tasks if there are several.
 func (c *Cell) logDownLines(one, several string, lines []downLine) {
 	lines = slices.DeleteFunc(lines, func(l downLine) bool { return l.task.job.state.Final() })
 	byPlace := make(map[logLocation][]downLine)
@@ -223,7 +228,7 @@
 	c.logs.lasting.Info(one, append(values, "Epoch", c.setup.Epoch)...)
 }
 
-// String returns the line as an entry of a list: task#run and its fields.
+// String returns the entry of the line in a list: task#run and its fields.
 func (l downLine) String() string {
 	out := fmt.Sprintf("%s#%d", l.task.ref, l.number)
 	for _, field := range l.fields {
--- a/internal/workflow/planner/downtimelimit.go
+++ b/internal/workflow/planner/downtimelimit.go
@@ -7,15 +7,15 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// waitChain is what can keep a lasting task down one after the other, with the longest time of all.
+// waitChain is a sequence of waits that can keep a lasting task down, with their longest total.
 type waitChain struct {
 	name string
 	down cottonlanding.Millis
 }
 
-// CheckDown returns an error that names the chains of waits by which one fault may keep a lasting task down
-// for longer than it may be, though workers have room. call is how long its owner waits for an answer, turn how long a
-// decision, its commit and what is sent by it take together. docs/design/lasting-tasks.md lists the chains.
+// CheckDown returns an error that names the sequences of waits by which one fault may keep a lasting task down for
+// longer than maxDowntime although workers have room. call is how long its owner waits for an answer, turn how long
+// a decision, its commit and the resulting orders take together. docs/design/lasting-tasks.md lists the sequences.
 func CheckDown(timing Timing, call, turn cottonlanding.Millis) error {
 	var faults []string
 	for _, chain := range waitChains(timing, call, turn) {
@@ -24,10 +24,12 @@
 		}
 	}
 	if pollFailsAfter := busyPollWait + call; timing.Lease/startLeaseDivisor < pollFailsAfter {
-		faults = append(faults, fmt.Sprintf("a look fails after %s, and starts extend a lease from %s on", pollFailsAfter, timing.Lease/startLeaseDivisor))
+		faults = append(faults, fmt.Sprintf("a poll fails after %s, but starts extend a lease from %s on",
+			pollFailsAfter, timing.Lease/startLeaseDivisor))
 	}
 	if holdAfter > maxDeferral {
-		faults = append(faults, fmt.Sprintf("a worker is kept after %s, and nothing holds a task back after %s", holdAfter, maxDeferral))
+		faults = append(faults, fmt.Sprintf("a worker is held after %s, but tasks are not deferred for longer than %s",
+			holdAfter, maxDeferral))
 	}
 	if len(faults) > 0 {
 		return fmt.Errorf("lasting tasks may be down for longer than %s (%s)", maxDowntime, strings.Join(faults, "; "))
@@ -37,7 +39,7 @@
 
 func waitChains(timing Timing, call, turn cottonlanding.Millis) []waitChain {
 	lost := withDriftMargin(timing.Lease) + turn
-	stopped := busyPollWait + turn // a stop was answered, and the next look shows that the run is ruled out
+	stopped := busyPollWait + turn // a stop was answered, and the next poll shows that the run is ruled out
 	secondStart := call + orderRetryInterval
 	lastStart := max(lost+urgentStartTimeout, min(lost+startTimeout, maxDeferral))
 	delegated := delegateAfter + 3*turn
@@ -45,10 +47,11 @@
 		{"a silent worker", lost},
 		{"a silent worker, then a start without an answer", lastStart + stopped},
 		{"a silent worker, then delegated", lost + delegated},
-		{"held back, then room is made", maxDeferral + preemptionTimeout + turn},
+		{"deferred, then room is made by preemption", maxDeferral + preemptionTimeout + turn},
 		{"placed on a worker that falls silent before the start", turn + busyPollWait + call + turn},
 		{"starts without an answer", turn + startTimeout + stopped},
-		{"starts and stops without an answer", turn + secondStart + withDriftMargin(timing.Lease) + cottonlanding.Millis(readingTolerance) + stopped},
+		{"starts and stops without an answer",
+			turn + secondStart + withDriftMargin(timing.Lease) + cottonlanding.Millis(readingTolerance) + stopped},
 		{"starts that are late", turn + (maxLateStarts+1)*(orderRetryInterval+turn)},
 		{"delegated, returned and delegated again", turn + 2*delegated + returnAfter + turn},
 	}
--- a/internal/workflow/planner/logbatch.go
+++ b/internal/workflow/planner/logbatch.go
@@ -6,20 +6,19 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// logBatch collects what happened to many tasks at once, so that one line of the log
-// tells it: an owner of hundreds of workers places and ends a thousand runs a second.
+// logBatch collects events of many tasks for one log line: an owner of hundreds of workers places and ends a
+// thousand runs per second.
 type logBatch struct {
 	placed []string
 	ended  []string
-	// lasting says that the tasks that were placed are of a lasting step.
+	// lasting says that the placed tasks belong to a lasting step.
 	lasting bool
-	// waited is the longest wait among placed, lookAge the age of the oldest answer
-	// of a worker among them.
+	// waited is the longest wait among the placed tasks, pollAge the age of the oldest answer of their workers.
 	waited  cottonlanding.Millis
 	pollAge cottonlanding.Millis
 }
 
-// recordPlaced adds a task that was given to a worker.
+// recordPlaced adds a task that was placed on a worker.
 func (s *logBatch) recordPlaced(t *task, w *worker, now cottonlanding.Millis) {
 	s.placed = append(s.placed, fmt.Sprintf("%s#%d@%s", t.ref, t.number, w.info.ID))
 	s.lasting = t.stage.Lasting
@@ -27,7 +26,7 @@
 	s.pollAge = max(s.pollAge, now-w.lastAnswerAt)
 }
 
-// logPlaced logs the tasks that were placed, each as task#run@worker.
+// logPlaced logs the placed tasks, each as task#run@worker.
 func (c *Cell) logPlaced() {
 	s := &c.logBatch
 	if len(s.placed) > 0 {
@@ -40,21 +39,20 @@
 	s.placed, s.waited, s.pollAge = nil, 0, 0
 }
 
-// recordEnded adds a run that ended by itself. One that was told to stop gets a line
-// of its own, which shows how long each part of that took.
+// recordEnded adds a run that ended by itself. A run that was told to stop gets its own line, which shows how long
+// each part of that took.
 func (c *Cell) recordEnded(r *run, end cottonlanding.RunEnd, now cottonlanding.Millis) {
 	if !r.stopping {
 		line := fmt.Sprintf("%s#%d %s after %d at %d%%", r.Task, r.Number, end.Kind, now-r.placedAt, r.percent)
 		c.logBatch.ended = append(c.logBatch.ended, line)
 		return
 	}
-	c.logs.forStep(r.step).Info("stopped run ended", "Task", r.Task.String(), "Run", r.Number, "Worker", r.worker.info.ID, "End", end.Kind,
-		"Serial", end.Serial, "Reason", r.stopReason, "After", now-r.placedAt, "MarkedBefore", now-r.stopRequestedAt,
-		"SentBefore", r.stopSentBefore(now), "Tries", r.stopTries)
+	c.logs.forStep(r.step).Info("stopped run ended", "Task", r.Task.String(), "Run", r.Number,
+		"Worker", r.worker.info.ID, "End", end.Kind, "Serial", end.Serial, "Reason", r.stopReason,
+		"After", now-r.placedAt, "MarkedBefore", now-r.stopRequestedAt, "SentBefore", r.stopSentBefore(now), "Tries", r.stopTries)
 }
 
-// stopSentBefore returns how long ago the first stop was sent, -1 if no answer to it
-// has been taken in yet.
+// stopSentBefore returns how long ago the first stop was sent, -1 if no answer to it has been recorded yet.
 func (r *run) stopSentBefore(now cottonlanding.Millis) cottonlanding.Millis {
 	if r.stopSentAt == 0 {
 		return -1
@@ -70,9 +68,8 @@
 	c.logBatch.ended = nil
 }
 
-// logLost logs the runs that are lost with a worker, each as task#run with how long before
-// its loss it was placed, and when the worker fell silent. A task of which several such
-// lines tell may be what ends its workers.
+// logLost logs the runs lost with a worker, each as task#run with how long before its loss it was placed, and for
+// how long the worker has been silent. A task that several such lines name may be what crashes its workers.
 func (c *Cell) logLost(w *worker, runs []*run, now cottonlanding.Millis, why loss) {
 	if len(runs) == 0 {
 		return
@@ -85,11 +82,12 @@
 	if w.pollFailed {
 		silent = now - w.pollFailedSince
 	}
-	c.log.Warn("worker lost", "Worker", w.info.ID, "Born", w.life().Born, "Runs", lost, "SilentFor", silent, "LastAnswer", now-w.lastAnswerAt, "Why", why)
+	c.log.Warn("worker lost", "Worker", w.info.ID, "Born", w.life().Born, "Runs", lost,
+		"SilentFor", silent, "LastAnswer", now-w.lastAnswerAt, "Why", why)
 }
 
-// logSkippedEnds logs the ends of an answer that count as taken in before, if the worker was
-// told that it may forget them: it has none of those any more.
+// logSkippedEnds logs the ends in an answer that count as recorded before, if the worker was told that it may
+// forget them: it should no longer have any of those.
 func (c *Cell) logSkippedEnds(w *worker, ends []cottonlanding.RunEnd) {
 	var skipped []string
 	for _, end := range ends {
@@ -98,28 +96,31 @@
 		}
 	}
 	if len(skipped) > 0 {
-		c.log.Warn("ends passed over", "Worker", w.info.ID, "Born", w.born, "Ends", skipped, "Noted", w.receivedEnd, "Seen", w.committedEnd)
+		c.log.Warn("ends passed over", "Worker", w.info.ID, "Born", w.born, "Ends", skipped,
+			"Noted", w.receivedEnd, "Seen", w.committedEnd)
 	}
 }
 
-// logCheckpoint logs a start that continues from a checkpoint. A text that differs from what
-// that worker has listed for that run was altered on its way; two lines of one run with two
-// texts say that its start was repeated with another one.
+// logCheckpoint logs a start that continues from a checkpoint. A checkpoint that differs from what that worker
+// listed for that run was altered in transit; two lines of one run with different checkpoints show that its start
+// was retried with another one.
 func (c *Cell) logCheckpoint(w *worker, r *run, from knownCheckpoint, now cottonlanding.Millis) {
-	c.logs.forStep(r.step).Info("start continues from a checkpoint", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "Checkpoint", from.text,
-		"How", from.how, "Of", from.run, "By", from.worker, "Before", now-from.at, "Repeated", r.startUnconfirmed)
+	c.logs.forStep(r.step).Info("start continues from a checkpoint", "Task", r.Task.String(), "Run", r.Number,
+		"Worker", w.info.ID, "Checkpoint", from.text, "How", from.how, "Of", from.run, "By", from.worker,
+		"Before", now-from.at, "Repeated", r.startUnconfirmed)
 }
 
-// maxLoggedLosses bounds how many tasks logTakenOver names.
+// maxLoggedLosses bounds the tasks that logInheritedLosses names.
 const maxLoggedLosses = 50
 
-// logInheritedLosses logs which tasks have lost workers under the owners before, each with its counts.
+// logInheritedLosses logs which tasks have lost workers under earlier owners, each with its counts.
 func (c *Cell) logInheritedLosses() {
 	var withLosses []string
 	for _, j := range c.openJobs {
 		j.eachTask(func(t *task) {
 			if t.crashes != (cottonlanding.CrashRecord{}) && len(withLosses) < maxLoggedLosses {
-				withLosses = append(withLosses, fmt.Sprintf("%s#%d losses %d crashes %d", t.ref, t.number, t.crashes.Losses, t.crashes.Crashes))
+				withLosses = append(withLosses, fmt.Sprintf("%s#%d losses %d crashes %d",
+					t.ref, t.number, t.crashes.Losses, t.crashes.Crashes))
 			}
 		})
 	}
--- a/internal/workflow/planner/rowsize.go
+++ b/internal/workflow/planner/rowsize.go
@@ -8,51 +8,49 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// The table refuses a state row that is too long, and with it the owner loses its cell. So a
-// job counts the most bytes that its row can take without texts, which encodeFitting leaves out
-// one by one. Whatever happens to a task without a decision of its owner, such as failures and
-// losses, is counted in advance; what the owner decides, such as to begin a round, waits until
-// there is room.
+// The table refuses a state row that is too long, and its owner then loses the cell. So a job tracks an upper bound
+// of its row's size without checkpoints, which encodeWithinLimit drops one by one. What happens to a task without a
+// decision of its owner, such as failures and losses, is counted in advance; what the owner decides, such as
+// beginning a round, waits until there is room.
 
 const (
 	// rowOverheadBytes is more than a state row takes beside its tasks.
 	rowOverheadBytes = 1000
-	// maxReasonBytes is what a reason takes in a row at most, in bytes.
+	// maxReasonBytes bounds the encoded size of a reason.
 	maxReasonBytes = 700
-	// doneBytes is what a task takes that is done.
+	// doneBytes is the size of a task that is done.
 	doneBytes = len(`["D"],`)
-	// waitingBytes is the most that any other takes but for the life of its worker: with the
-	// largest run number, mostFailures, and as many losses as a task can have that isn't given up.
+	// waitingBytes is the largest size of any other task without the life of its worker: with the largest run
+	// number, maxFailures, and as many losses as a task can have that is not given up.
 	waitingBytes = len(`["",4294967295,"",999,"",-5,5],`)
 	// maxFailures bounds the attempts of a task, so that they have three digits.
 	maxFailures = 999
-	// typicalBytes is what is kept for each task of a round that isn't done, so that it can be
-	// placed on a worker with an id of usual length.
+	// typicalBytes is reserved for each task of a round that is not done, so that it can be placed on a worker with
+	// an id of typical length.
 	typicalBytes = 60
-	// maxRoundsBytes is up to where rounds are begun, in bytes. It leaves room for the longest
-	// life of a worker, so that something can always run. A round of as many tasks as a
-	// workflow may have takes less.
+	// maxRoundsBytes is the row size up to which rounds are begun. It leaves room for the longest life of a worker,
+	// so that something can always run. One round with as many tasks as a workflow may have takes less.
 	maxRoundsBytes = maxRowBytes - 2000
 )
 
-// rowSize bounds the length of a state row.
+// rowSize is an upper bound of the size of a state row.
 type rowSize struct {
 	// undone and done count the tasks in the row.
 	undone, done int
-	// lives is what the lives of the workers take on which tasks are placed, open what those take
-	// that tasks have left open, in bytes.
+	// lives is the size of the worker lives on which tasks are placed, open the size of those that tasks have left
+	// open, in bytes.
 	lives, open int
-	// remote is what the states of tasks take that aren't run here, in bytes.
+	// remote is the size of the states of tasks that run in other cells, in bytes.
 	remote int
 }
 
-// bytes returns the most that the row takes.
+// bytes returns the upper bound of the row's size.
 func (s rowSize) bytes() int {
 	return rowOverheadBytes + s.undone*waitingBytes + s.done*doneBytes + s.lives + s.open + s.remote
 }
 
-// typicalBytes returns what the row takes if all tasks that aren't done run on workers with ids of
-// usual length.
+// typicalBytes returns the size of the row if all tasks that are not done run on workers with ids of typical
+// length.
 func (s rowSize) typicalBytes() int {
 	return rowOverheadBytes + s.undone*typicalBytes + s.done*doneBytes
 }
@@ -60,13 +58,13 @@
 // fitsRounds reports whether the row may have all its rounds.
 func (s rowSize) fitsRounds() bool { return max(s.bytes(), s.typicalBytes()) <= maxRoundsBytes }
 
-// recordDone counts a task that is done from now on.
+// recordDone counts a task as done.
 func (s *rowSize) recordDone() {
 	s.undone--
 	s.done++
 }
 
-// lifeBytes returns the most that a task takes more in a row while it's placed on a life of a
+// lifeBytes returns an upper bound of the size that a task takes in addition while it is placed on a life of a
 // worker.
 func lifeBytes(life cottonlanding.Life) int {
 	if life == (cottonlanding.Life{}) {
@@ -75,10 +73,10 @@
 	return len(taskAssigned) + encodedBytes(life.String())
 }
 
-// maxEscapedByte is what a byte of a text takes at most that is written as an escape.
+// maxEscapedByte is the size of a byte of text that is written as an escape.
 const maxEscapedByte = len(`\u0000`)
 
-// encodedBytes returns the most that a text takes in a row, without its quotes.
+// encodedBytes returns an upper bound of the encoded size of a text, without its quotes.
 func encodedBytes(text string) int {
 	count := 0
 	for at := range len(text) {
@@ -91,14 +89,14 @@
 	return count
 }
 
-// setLife notes on which life the task is placed; the zero value is none.
+// setLife sets the life on which the task is placed; the zero value is none.
 func (t *task) setLife(life cottonlanding.Life) {
 	t.job.size.lives += lifeBytes(life) - lifeBytes(t.life)
 	t.life = life
 }
 
-// hasRoomForLives reports whether the row takes lives of so many bytes more. If need be, the first
-// rounds that are finished are left out of it.
+// hasRoomForLives reports whether the row has room for lives of so many more bytes. If necessary, the first
+// finished rounds are dropped from it.
 func (j *job) hasRoomForLives(bytes int) bool {
 	if j.size.bytes()+bytes <= maxRowBytes {
 		return true
@@ -108,12 +106,12 @@
 	return j.size.bytes()+bytes <= maxRowBytes
 }
 
-// maxLifeBytes is what the life of a worker takes in a row, with the birth that takes most, whose id
-// is the longest that the platform allows and is written as it is.
+// maxLifeBytes is the size of a worker's life in a row, with the longest birth and the longest id that the platform
+// allows, without escapes.
 const maxLifeBytes = len(taskAssigned) + 200 + len("@-1y2p0ij32e8e8")
 
-// checkRowFits returns ErrCannotRun for a workflow whose row never has room for all that must be
-// placed at once on the workers that the cell knows.
+// checkRowFits returns ErrCannotRun for a workflow whose row can never hold all tasks that must be placed at once
+// on the workers that the cell knows.
 func (c *Cell) checkRowFits(workflow cottonlanding.Workflow, queue cottonlanding.Queue) error {
 	if rowFits(workflow, maxLifeBytes) {
 		return nil
@@ -122,11 +120,12 @@
 	if rowFits(workflow, longest) {
 		return nil
 	}
-	return fmt.Errorf("%w: its lasting tasks and its largest gang must be placed at once, which may take over %d bytes to keep where a worker takes %d",
+	return fmt.Errorf(
+		"%w: its lasting tasks and its largest gang, placed at once, may need over %d bytes of row at %d bytes per worker",
 		cottonlanding.ErrCannotRun, maxRowBytes, longest)
 }
 
-// longestLifeBytes returns the most that the life of a service's worker takes in a row, in bytes.
+// longestLifeBytes returns the largest size of a life of the service's workers in a row.
 func (c *Cell) longestLifeBytes(service cottonlanding.ServiceName) int {
 	longest := 0
 	for _, w := range c.workers {
@@ -137,9 +136,9 @@
 	return longest
 }
 
-// rowFits reports whether a workflow's row has room for all rounds that are open at the same
-// time, with its lasting tasks and its largest gang placed on lives of so many bytes. Rounds with
-// lasting tasks are never finished, so that none of them is left out.
+// rowFits reports whether a workflow's row has room for all rounds that are open at the same time, with its lasting
+// tasks and its largest gang placed on lives of the given size in bytes. Rounds with lasting tasks never finish, so
+// none of them is dropped.
 func rowFits(workflow cottonlanding.Workflow, life int) bool {
 	lasting, gang := 0, 0
 	for _, step := range workflow.Steps {
@@ -153,7 +152,7 @@
 	tasks := tasksPerRound(workflow)
 	size := rowSize{undone: tasks, lives: (lasting + gang) * life}
 	if lasting > 0 {
-		earlier := min(max(0, workflow.Schedule.Rounds-1), maxRowBytes) // more have no room in any case
+		earlier := min(max(0, workflow.Schedule.Rounds-1), maxRowBytes) // more never have room
 		size.undone += earlier * lasting
 		size.done += earlier * (tasks - lasting)
 		size.lives += earlier * lasting * life
@@ -161,7 +160,6 @@
 	return size.typicalBytes() <= maxRoundsBytes && size.bytes() <= maxRowBytes
 }
 
-// tasksPerRound counts the tasks of one round.
 func tasksPerRound(workflow cottonlanding.Workflow) int {
 	count := 0
 	for _, step := range workflow.Steps {
@@ -170,8 +168,8 @@
 	return count
 }
 
-// hasRoomForRound reports whether another round can begin. If need be, the first rounds
-// that are finished are left out of the row.
+// hasRoomForRound reports whether another round can begin. If necessary, the first finished rounds are dropped from
+// the row.
 func (j *job) hasRoomForRound() bool {
 	if j.sizeWithRound().fitsRounds() {
 		return true
@@ -181,14 +179,14 @@
 	return j.sizeWithRound().fitsRounds()
 }
 
-// sizeWithRound returns the size of the row with another round.
+// sizeWithRound returns the size of the row with one more round.
 func (j *job) sizeWithRound() rowSize {
 	size := j.size
 	size.undone += tasksPerRound(j.Workflow)
 	return size
 }
 
-// dropFinishedRounds has the row leave out the first rounds that are finished.
+// dropFinishedRounds drops the first finished rounds from the row.
 func (j *job) dropFinishedRounds() {
 	for j.leftOut < len(j.rounds) && j.rounds[j.leftOut].finished() {
 		j.leftOut++
@@ -196,8 +194,8 @@
 	}
 }
 
-// firstInRow returns the first round of which the row has the tasks: as long as there is room it
-// has those of all, so that older code can read it.
+// firstInRow returns the first round whose tasks the row holds. As long as there is room, it holds the tasks of all
+// rounds, so that older code can read it.
 func (j *job) firstInRow() int {
 	all := j.size
 	all.done += j.leftOut * tasksPerRound(j.Workflow)
@@ -207,9 +205,8 @@
 	return j.leftOut
 }
 
-// withdrawUnstartedRounds takes back the last rounds of which nothing has begun until the row holds all
-// rounds: owners of older code have begun them without regard to that. They begin again
-// when there is room.
+// withdrawUnstartedRounds withdraws the last rounds of which nothing has begun until the row has room for all
+// rounds: owners of older code have begun them regardless of its size. They begin again when there is room.
 func (j *job) withdrawUnstartedRounds() {
 	if j.size.fitsRounds() {
 		return
@@ -233,7 +230,7 @@
 	return true
 }
 
-// truncateReason returns a reason that a row can hold.
+// truncateReason shortens a reason to at most maxReasonBytes in a row.
 func truncateReason(reason string) string {
 	for encodedBytes(reason) > maxReasonBytes {
 		excess := encodedBytes(reason) - maxReasonBytes
@@ -242,15 +239,15 @@
 	return reason
 }
 
-// roundCount counts the rounds of a state row. It is written as a number, or as a list with
-// the number of the first rounds that are finished and whose tasks the row leaves out. Code that
-// doesn't know of that refuses the list: it would take the tasks for those of earlier rounds.
+// roundCount counts the rounds of a state row. It is encoded as a number, or as a list with the number of the first
+// finished rounds whose tasks the row leaves out. Older code refuses the list, and so does not take the tasks for
+// those of earlier rounds.
 type roundCount struct {
 	Begun   int
 	LeftOut int
 }
 
-// MarshalJSON writes the count.
+// MarshalJSON encodes the count as a number, or as a list if rounds are left out.
 func (r roundCount) MarshalJSON() ([]byte, error) {
 	if r.LeftOut == 0 {
 		return json.Marshal(r.Begun)
@@ -258,7 +255,7 @@
 	return json.Marshal([]int{r.Begun, r.LeftOut})
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote, or a number as older code has written it.
+// UnmarshalJSON decodes what MarshalJSON returns; older code has written numbers only.
 func (r *roundCount) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] == '[' {
 		return json.Unmarshal(data, &[]any{&r.Begun, &r.LeftOut})
