--- a/internal/workflow/planner/checkpoint_test.go
+++ b/internal/workflow/planner/checkpoint_test.go
@@ -9,7 +9,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// checkpointWorld is a world whose workers list texts.
+// checkpointWorld is a world whose workers list checkpoints.
 func checkpointWorld(t require.TestingT) *world {
 	w := newSpreadWorld(t)
 	w.checkpoints = newCheckpointRecorder()
@@ -19,21 +19,21 @@
 	return w
 }
 
-// checkpointingStep is quick for a step that checkpoints.
+// checkpointingStep is quick for a step with checkpoints.
 func checkpointingStep(tasks int) cottonlanding.Step {
 	step := quick(tasks)
 	step.Checkpoints = true
 	return step
 }
 
-// checkpointingGang is saving for a step whose tasks run only together.
+// checkpointingGang is checkpointingStep for a gang.
 func checkpointingGang(tasks int) cottonlanding.Step {
 	step := checkpointingStep(tasks)
 	step.Gang = true
 	return step
 }
 
-// loadRow has the next owner take in one workflow in a given state.
+// loadRow has the next owner load one workflow in a given state.
 func (w *world) loadRow(id cottonlanding.WorkflowID, state string, steps ...cottonlanding.Step) {
 	w.submitCheckpointing(id, steps...)
 	w.commit()
@@ -43,10 +43,8 @@
 	w.takeOver()
 }
 
-// A text from which to continue is listed with each run, and the page that describes workers
-// says it is made only by those tasks that checkpoint. The planner kept whatever text a
-// list held, and the next start brought it, also of a step that doesn't checkpoint: there a
-// start that brings any text is one that nobody asked for.
+// TestOnlyCheckpointingStepsResume guards against starts that pass a checkpoint to a task whose step has none.
+// Lists may hold a text for each run, and rows may as well, but only tasks with checkpoints make them.
 func TestOnlyCheckpointingStepsResume(t *testing.T) {
 	t.Run("listed", func(t *testing.T) {
 		w := checkpointWorld(t)
@@ -64,7 +62,7 @@
 	})
 }
 
-// addListed takes a text for one that a run of the task has listed.
+// addListed records a checkpoint as one that a run of the task has listed.
 func (b *checkpointRecorder) addListed(task cottonlanding.TaskRef, text cottonlanding.Checkpoint) {
 	b.listed[task] = map[cottonlanding.Checkpoint]bool{text: true}
 }
@@ -83,8 +81,8 @@
 	}
 }
 
-// requireRetried has the next owner take over, and checks that it repeats the starts that were
-// lost, with the texts that they had to bring.
+// requireRetried has the next owner take over, and checks that it retries the lost starts with the right
+// checkpoints.
 func requireRetried(t *testing.T, w *world, starts int) {
 	w.takeOver()
 	w.play(2 * cottonlanding.Second)
@@ -100,28 +98,28 @@
 	w.pollAll()
 }
 
-// The page that describes workers says that the text of any member serves for its gang, and
-// that all members must bring the same one. Each member brought its own: whatever it was
-// listed with last. So a gang that had listed texts was started with as many of them.
+// TestGangSharesOneCheckpoint guards against members of a gang that are started with different checkpoints, each
+// with the one it was listed with last. The checkpoint of any member serves the gang, but all members must get the
+// same one.
 func TestGangSharesOneCheckpoint(t *testing.T) {
 	w := checkpointWorld(t)
 	w.submitCheckpointing("again", checkpointingGang(2))
 	w.play(10 * cottonlanding.Second)
 	require.Empty(t, w.checkpoints.faults)
 	text := w.checkpoints.startedWith[cottonlanding.RunKey{Task: firstTask("again"), Number: 2}]
-	require.Contains(t, text, "again.0.0.1#1", "the second member's worker is asked last")
+	require.Contains(t, text, "again.0.0.1#1", "the second member's worker is polled last")
 	state, _ := w.cell.State("again")
 	require.Equal(t, cottonlanding.WorkflowSucceeded, state)
 }
 
-// The same through a change of owner: the rows that owners have written until now hold a text
-// of each member. Whether the gang waits or some of its starts may have gone out, the next
-// owner brings one of these texts for all.
+// TestGangRowsWithDifferentCheckpoints guards against the same after a change of owner: rows of earlier owners hold
+// a checkpoint for each member. Whether the gang waits or some of its starts may have been sent, the next owner
+// passes one of them to all.
 func TestGangRowsWithDifferentCheckpoints(t *testing.T) {
 	for name, tasks := range map[string]string{
-		"waiting":  `["",1],["",1,"",0,"two"],["",1,"",0,"three"]`,
-		"one text": `["",1,"",0,"two"],["",1],["",1]`,
-		"placed":   `["A",1,"w1"],["A",1,"w2",0,"two"],["A",1,"w3",0,"three"]`,
+		"waiting":        `["",1],["",1,"",0,"two"],["",1,"",0,"three"]`,
+		"one checkpoint": `["",1,"",0,"two"],["",1],["",1]`,
+		"placed":         `["A",1,"w1"],["A",1,"w2",0,"two"],["A",1,"w3",0,"three"]`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := checkpointWorld(t)
@@ -138,8 +136,8 @@
 	}
 }
 
-// newPartlyStartedWorld returns a world in which one member of a gang goes on and has listed texts, and
-// each start of the other was lost. The first row is that of the gang's first task.
+// newPartlyStartedWorld returns a world in which one member of a gang is running and has listed checkpoints, and
+// each start of the other was lost. firstRow is the row of the gang's first task.
 func newPartlyStartedWorld(t require.TestingT, firstRow string) *world {
 	w := checkpointWorld(t)
 	w.checkpoints.addListed(firstTask("slow"), "one")
@@ -148,13 +146,12 @@
 		w.turnWithoutStart(cottonlanding.TaskRef{Workflow: "slow", Index: 1})
 	}
 	require.Equal(t, 1, w.runner.Starts())
-	require.Greater(t, len(w.checkpoints.listed[firstTask("slow")]), 1, "the member that has begun lists texts")
+	require.Greater(t, len(w.checkpoints.listed[firstTask("slow")]), 1, "the member that has begun lists checkpoints")
 	return w
 }
 
-// A start that gets no answer is repeated, and each repeat read the gang's text anew. So one
-// run was started with the text that it was placed with and with those that a member which had
-// begun has listed since, while the members must all bring the same.
+// TestRetriedStartKeepsCheckpoint guards against a retried start that passes another checkpoint than the first one
+// did: members that are running have listed newer ones meanwhile, but all members must get the same.
 func TestRetriedStartKeepsCheckpoint(t *testing.T) {
 	w := newPartlyStartedWorld(t, `["",1,"",0,"one"]`)
 	w.play(2 * cottonlanding.Second)
@@ -162,9 +159,9 @@
 	require.Empty(t, w.checkpoints.faults)
 }
 
-// A gang is done with its first member that is, and its texts are dropped. A start of another
-// member, to which there was no answer by then, was repeated without the text that the copies
-// before had brought.
+// TestRetriedStartOfFinishedGangKeepsCheckpoint guards against a retried start without the checkpoint of its
+// earlier copies: a gang is done with its first member that is, and its checkpoints are dropped while the start of
+// another member has no answer.
 func TestRetriedStartOfFinishedGangKeepsCheckpoint(t *testing.T) {
 	w := checkpointWorld(t)
 	w.checkpoints.addListed(firstTask("gang"), "one")
@@ -178,15 +175,15 @@
 	require.Empty(t, w.checkpoints.faults)
 }
 
-// The same with a change of owner before the repeat: the row held the newest text alone, so
-// that the next owner could not know which one the members that have begun had brought. That may
-// be none, and the first member, whose row has the texts, may have ended by then.
+// TestNextOwnerRetriesStartWithCheckpoint guards against a next owner that retries a start with the newest
+// checkpoint because the row holds no other. The members that are running may have been started with an older one
+// or none, and the first member, whose row has the checkpoints, may have ended by then.
 func TestNextOwnerRetriesStartWithCheckpoint(t *testing.T) {
 	for name, one := range map[string]struct {
 		firstRow string
 		ends     bool
 	}{
-		"with a text":            {firstRow: `["",1,"",0,"one"]`},
+		"with a checkpoint":      {firstRow: `["",1,"",0,"one"]`},
 		"without":                {firstRow: `["",1]`},
 		"first member has ended": {firstRow: `["",1,"",0,"one"]`, ends: true},
 	} {
@@ -204,8 +201,8 @@
 	}
 }
 
-// A member that ends after its gang is done lists its text all the same. It was kept in the row
-// of a task that is never started again, for as long as the workflow is.
+// TestCheckpointsOfFinishedGangAreDropped guards against a checkpoint that stays in the row of a task that is never
+// started again, for as long as its workflow: a member that ends after its gang is done lists one all the same.
 func TestCheckpointsOfFinishedGangAreDropped(t *testing.T) {
 	w := checkpointWorld(t)
 	after := quick(10)
@@ -220,11 +217,10 @@
 	require.NotContains(t, string(w.rows[planner.StateKey(partition, "gang")].Value), "#1/")
 }
 
-// A worker crashes and is back under its id, and the owner changes meanwhile. An owner that can't
-// tell the two lives apart doesn't find the run in the list, takes it for one whose start was
-// lost and repeats that, with the text of the row, which this very run may have made in the life
-// before. The birth in the row tells the lives apart: the run has ended, and the text goes to
-// the next one.
+// TestNextOwnerTellsLivesApartByBirth guards against a checkpoint that is passed to the very run that made it. A
+// worker crashes and is back under its id, and the owner changes meanwhile. An owner that cannot tell the two lives
+// apart does not find the run in the list, assumes that its start was lost, and retries it with the checkpoint of
+// the row. The birth in the row tells the lives apart: the run has ended, and the checkpoint goes to the next one.
 func TestNextOwnerTellsLivesApartByBirth(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.checkpoints = newCheckpointRecorder()
@@ -241,9 +237,9 @@
 	require.NotEmpty(t, w.checkpoints.startedWith[cottonlanding.RunKey{Task: firstTask("slow"), Number: 2}])
 }
 
-// The same where workers tell no births: nothing tells the two lives apart then, and the start is
-// repeated. It must bring the text that the run was started with at first, none here, and not one
-// that this run has made since.
+// TestNextOwnerRetriesStartWithoutBirths guards against the same where workers report no births. The start is
+// retried, since the two lives cannot be told apart, but with the checkpoint of the first start, here none, and not
+// with one that this run has made since.
 func TestNextOwnerRetriesStartWithoutBirths(t *testing.T) {
 	w := checkpointWorld(t)
 	w.submitCheckpointing("slow", checkpointingStep(1))
--- a/internal/workflow/planner/checkpointfaults_test.go
+++ b/internal/workflow/planner/checkpointfaults_test.go
@@ -10,10 +10,10 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestCheckpointsAmongFaults plays workflows of several steps and rounds, whose tasks fail once and list
-// texts, among lost, late and repeated orders, workers that are back under their ids, rows that are written
-// and read by the next owner, and commits without an answer. Each start brings no text or one
-// of its own task or gang, and all starts of a run and of its gang the same.
+// TestCheckpointsAmongFaults guards against starts with wrong checkpoints among lost, late and retried orders,
+// workers that are back under their ids, rows that are written and loaded by the next owner, and commits without an
+// answer. The workflows have several steps and rounds, and their tasks fail once. Each start passes no checkpoint
+// or one of its own task or gang, and all starts of a run and of its gang pass the same.
 func TestCheckpointsAmongFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorldWithBirths(t)
--- a/internal/workflow/planner/checkpointsearch_test.go
+++ b/internal/workflow/planner/checkpointsearch_test.go
@@ -9,12 +9,12 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// The search of texts plays the steps of the search of lives, and some more, with workers that
-// list texts for all runs, a task and a gang that checkpoint, and a task that doesn't.
+// The search of checkpoints takes the steps of TestSearchLives, and some more, with workers that list checkpoints
+// for all runs, a task and a gang with checkpoints, and a task without.
 //
-//	go test ./internal/workflow/planner -run TestSearchOfTexts -texts.depth 6 -search.within 10m
+//	go test ./internal/workflow/planner -run TestSearchCheckpoints -texts.depth 6 -search.within 10m
 
-var checkpointsDepth = flag.Int("texts.depth", 3, "how many steps TestSearchOfTexts plays at most")
+var checkpointsDepth = flag.Int("texts.depth", 3, "how many steps TestSearchCheckpoints takes at most")
 
 // checkpointSearchSteps are searchSteps and those that tell the members of a gang apart.
 var checkpointSearchSteps = append([]searchStep{
@@ -24,7 +24,7 @@
 	{name: "row written", do: func(s *searchWorld) { s.touchAll() }},
 }, searchSteps...)
 
-// newFirstRunWorld is newSearchWorld with texts, and with tasks of which each fails once.
+// newFirstRunWorld is newSearchWorld with checkpoints, and with tasks of which each fails once.
 func newFirstRunWorld(t require.TestingT) *searchWorld {
 	s := newSearchWorld(t)
 	s.checkpoints = newCheckpointRecorder()
@@ -32,7 +32,7 @@
 	return s
 }
 
-// newSecondRunWorld is newFirstRuns once all tasks have failed and wait, with their texts known.
+// newSecondRunWorld is newFirstRunWorld once all tasks have failed and wait, with their checkpoints known.
 func newSecondRunWorld(t require.TestingT) *searchWorld {
 	s := newFirstRunWorld(t)
 	s.turn(turnSpan)
@@ -42,9 +42,9 @@
 	return s
 }
 
-// TestSearchCheckpoints: in all interleavings a start brings no text or one that a run of its own
-// task has listed, or of its gang; none if its step doesn't checkpoint; and the same as all
-// starts of its run, and of the other members of its gang.
+// TestSearchCheckpoints guards against starts with wrong checkpoints in all interleavings of the steps: a start
+// passes no checkpoint or one that a run of its own task or gang has listed; none if its step has no checkpoints;
+// and the same as all starts of its run and of the other members of its gang.
 func TestSearchCheckpoints(t *testing.T) {
 	for name, world := range map[string]func(require.TestingT) *searchWorld{"first": newFirstRunWorld, "second": newSecondRunWorld} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/workflow/planner/downtime_test.go
+++ b/internal/workflow/planner/downtime_test.go
@@ -35,7 +35,7 @@
 	return count
 }
 
-// awaitRun plays until a task runs, and returns how long that took.
+// awaitRun lets turns pass until a task runs, and returns how long that took.
 func (w *world) awaitRun(ref cottonlanding.TaskRef, within cottonlanding.Millis) cottonlanding.Millis {
 	began := w.now
 	for !w.runner.Runs(ref) {
@@ -45,7 +45,7 @@
 	return w.now - began
 }
 
-// firstIdle returns the first task of a workflow's first step that doesn't run, beside some that are known.
+// firstIdle returns the first task of a workflow's first step that does not run, other than the known ones.
 func (w *world) firstIdle(id cottonlanding.WorkflowID, known ...int) int {
 	index := 0
 	for slices.Contains(known, index) || w.runs(id, index) {
@@ -54,7 +54,7 @@
 	return index
 }
 
-// awaitAll plays until the first tasks of a workflow's first step run, and a little longer.
+// awaitAll lets turns pass until the first tasks of a workflow's first step run, and one second more.
 func (w *world) awaitAll(id cottonlanding.WorkflowID, tasks int) {
 	w.play(cottonlanding.Second)
 	for began := w.now; !w.runsAll(id, tasks); {
@@ -64,7 +64,7 @@
 	w.play(cottonlanding.Second)
 }
 
-// countDowntimes counts the downtimes that a log tells of the first tasks of a workflow's first step.
+// countDowntimes counts the logged downtimes of the first tasks of a workflow's first step.
 func (w *world) countDowntimes(log *bytes.Buffer, id cottonlanding.WorkflowID, tasks int) int {
 	count := 0
 	for index := range tasks {
@@ -73,8 +73,8 @@
 	return count
 }
 
-// TestStoppedTaskLogsDowntime guards against a log from which it can't be read for how long a lasting task
-// was down, why, and in what that time went.
+// TestStoppedTaskLogsDowntime guards against logs that do not show how long a lasting task was down, why, and how
+// that time was spent.
 func TestStoppedTaskLogsDowntime(t *testing.T) {
 	w := newSpreadWorld(t)
 	log := w.captureLog()
@@ -109,7 +109,7 @@
 	require.InDelta(t, known+downs[0]["Since"].(float64), starts[0]["DownFor"], 2*float64(turnSpan))
 }
 
-// TestDownTasksAreLoggedTogether guards against an owner whose log grows by a line a task when a worker is lost.
+// TestDownTasksAreLoggedTogether guards against a log line for each task of a lost worker.
 func TestDownTasksAreLoggedTogether(t *testing.T) {
 	w := newSpreadWorld(t)
 	log := w.captureLog()
@@ -132,7 +132,7 @@
 	require.LessOrEqual(t, len(logLines(t, log, againMessages...)), 16)
 }
 
-// TestNewOwnerLogsDownTasks guards against a downtime that a change of owners hides.
+// TestNewOwnerLogsDownTasks guards against a downtime that is not logged because the owner has changed meanwhile.
 func TestNewOwnerLogsDownTasks(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -141,7 +141,7 @@
 	w.leave(0)
 	waits := w.firstIdle("lasting")
 	w.runner.Crash(w.workers[1].ID)
-	log := w.captureLog() // it loads a task that waits, one whose worker is gone, and two that run
+	log := w.captureLog() // loads a task that waits, one whose worker is gone, and two that run
 	inDoubt := w.firstIdle("lasting", waits)
 	w.play(cottonlanding.Second)
 	require.Len(t, logLines(t, log, downMessages...), 1)
@@ -158,8 +158,8 @@
 	require.Empty(t, logLines(t, log, againMessages...), "there is no room, and the others ran on")
 }
 
-// TestDowntimeLogsAlternate guards against lines that miss a downtime, or tell one twice: under each owner, the
-// beginnings and ends that are told of a task alternate, and the last agrees with what runs in the end.
+// TestDowntimeLogsAlternate guards against downtimes that are not logged, or logged twice: under each owner, the
+// logged beginnings and ends of a task alternate, and the last one agrees with what runs in the end.
 func TestDowntimeLogsAlternate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
@@ -220,8 +220,8 @@
 	})
 }
 
-// TestDelegatedTaskLogsDowntime guards against a downtime whose end can't be read where a task was delegated: its
-// keeper and the cell that takes it both tell.
+// TestDelegatedTaskLogsDowntime guards against a downtime whose end is not logged because the task was delegated:
+// both the delegator and the delegate cell log it.
 func TestDelegatedTaskLogsDowntime(t *testing.T) {
 	n := newMultiCell(t, 2, 2)
 	logs := []*bytes.Buffer{n.cells[0].captureLog(), n.cells[1].captureLog()}
--- a/internal/workflow/planner/lastingstarts_test.go
+++ b/internal/workflow/planner/lastingstarts_test.go
@@ -12,7 +12,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// plannedWorker returns the worker on which the plan under way places the first task of a workflow.
+// plannedWorker returns the worker on which the plan in flight places the first task of a workflow.
 func (w *world) plannedWorker(id cottonlanding.WorkflowID) cottonlanding.WorkerID {
 	for _, write := range w.plan.Writes {
 		if write.Key != planner.StateKey(partition, id) {
@@ -26,8 +26,8 @@
 	return ""
 }
 
-// TestUnstartedRunLeavesSilentWorker: a run whose start had not gone out when its worker fell silent waited
-// until the worker's lease had surely run out, though nothing could begin there and others had room.
+// TestUnstartedRunLeavesSilentWorker guards against a run that waits for the end of its worker's lease although its
+// start had not been sent when the worker fell silent: nothing can begin there, and others have room.
 func TestUnstartedRunLeavesSilentWorker(t *testing.T) {
 	w := lastingWorld(t)
 	w.interruptLasting()
@@ -40,17 +40,18 @@
 }
 
 const (
-	// orderTimeout is after how long an order counts as unanswered, lookEvery how often busy workers are looked at here.
+	// orderTimeout is after how long an order counts as unanswered, pollInterval how often busy workers are polled
+	// here.
 	orderTimeout = cottonlanding.Second
 	pollInterval = 850 * cottonlanding.Millis(1)
 )
 
-// unresponsiveWorld plays a cell one of whose workers answers looks and none of the orders of some verbs.
+// unresponsiveWorld is a world with one worker that answers polls, but not the orders of some verbs.
 type unresponsiveWorld struct {
 	*world
-	// worker is the one that is deaf, the first that is given a start once deafened.
+	// worker is the unresponsive one, the first that is given a start.
 	worker cottonlanding.WorkerID
-	// unanswered are the verbs whose orders get no answer, err what becomes of them.
+	// unanswered are the verbs whose orders get no answer, err is the outcome of these orders after errorDelay.
 	unanswered []planner.Verb
 	err        error
 	errorDelay cottonlanding.Millis
@@ -58,7 +59,8 @@
 	polledAt   cottonlanding.Millis
 }
 
-// newUnresponsiveWorld returns a cell of which the worker that gets the next start answers no orders of some verbs.
+// newUnresponsiveWorld returns a world in which the worker that gets the next start answers no orders of some
+// verbs.
 func newUnresponsiveWorld(w *world, verbs ...planner.Verb) *unresponsiveWorld {
 	return &unresponsiveWorld{world: w, unanswered: verbs, err: cottonlanding.ErrAmbiguous, errorDelay: orderTimeout}
 }
@@ -70,7 +72,7 @@
 	return order.Worker.Life.Worker != d.worker || !slices.Contains(d.unanswered, order.Verb)
 }
 
-// turn lets a turn pass. Orders that aren't heard are sent once they have got no answer.
+// turn lets a turn pass. Orders without an answer are kept, and arrive late.
 func (d *unresponsiveWorld) turn() {
 	d.now += turnSpan
 	d.commit()
@@ -99,7 +101,7 @@
 	}
 }
 
-// downFor lets turns pass until a task of a workflow runs, or much longer than it may be down.
+// downFor lets turns pass until a task of a workflow runs, or for much longer than it may be down.
 func (d *unresponsiveWorld) downFor(id cottonlanding.WorkflowID) cottonlanding.Millis {
 	since := d.now
 	for d.now-since < 3*startWithin && !d.runs(id, 0) {
@@ -108,7 +110,7 @@
 	return d.now - since
 }
 
-// interruptLasting has the worker of the only task of "lasting" leave, and plays until its run has ended.
+// interruptLasting has the worker of the only task of "lasting" leave, and lets turns pass until its run has ended.
 func (w *world) interruptLasting() {
 	at := slices.IndexFunc(w.workers, func(info cottonlanding.WorkerInfo) bool { return w.runner.RunsOn(info.ID) == 2 })
 	w.workers[at].State = cottonlanding.Leaving
@@ -120,7 +122,7 @@
 	}
 }
 
-// lastingWorld is a cell of leased workers, one of which also has the only task of "lasting".
+// lastingWorld is a world of leased workers, one of which also has the only task of "lasting".
 func lastingWorld(t require.TestingT) *world {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -132,7 +134,7 @@
 	return w
 }
 
-// requireSingleRuns sends what came late, and checks that nothing ran twice.
+// requireSingleRuns sends the late orders, and checks that nothing ran twice.
 func (d *unresponsiveWorld) requireSingleRuns() {
 	d.unanswered = nil
 	for _, order := range d.late {
@@ -144,8 +146,8 @@
 	require.Empty(d.t, d.runner.Violations())
 }
 
-// TestTaskLeavesWorkerThatIgnoresStarts: starts to a worker that answered looks and didn't list the run
-// were repeated without end, while others had room.
+// TestTaskLeavesWorkerThatIgnoresStarts guards against starts that are retried without end to a worker that answers
+// polls and does not list the run, while others have room.
 func TestTaskLeavesWorkerThatIgnoresStarts(t *testing.T) {
 	w := lastingWorld(t)
 	w.interruptLasting()
@@ -154,7 +156,7 @@
 	d.requireSingleRuns()
 }
 
-// TestLostTaskLeavesWorkerThatIgnoresStarts is the same for a task that was lost with a silent worker
+// TestLostTaskLeavesWorkerThatIgnoresStarts guards against the same for a task that was lost with a silent worker
 // before, so that little of its time is left.
 func TestLostTaskLeavesWorkerThatIgnoresStarts(t *testing.T) {
 	w := lastingWorld(t)
@@ -165,8 +167,8 @@
 	d.requireSingleRuns()
 }
 
-// TestTaskLeavesWorkerThatIgnoresOrders: the task was tied for good to a worker that answered looks and
-// neither starts nor stops.
+// TestTaskLeavesWorkerThatIgnoresOrders guards against a task that stays for good with a worker that answers polls,
+// and neither starts nor stops.
 func TestTaskLeavesWorkerThatIgnoresOrders(t *testing.T) {
 	w := lastingWorld(t)
 	w.interruptLasting()
@@ -175,8 +177,8 @@
 	d.requireSingleRuns()
 }
 
-// TestTaskLeavesWorkerThatRefusesLateStarts: starts that a worker refused as too late were repeated to it without end,
-// those of short tasks as well, which nothing else moves.
+// TestTaskLeavesWorkerThatRefusesLateStarts guards against starts that are retried without end to a worker that
+// refuses them as too late, also those of short tasks, which nothing else moves.
 func TestTaskLeavesWorkerThatRefusesLateStarts(t *testing.T) {
 	for _, id := range []cottonlanding.WorkflowID{"lasting", "slow"} {
 		t.Run(string(id), func(t *testing.T) {
@@ -194,7 +196,8 @@
 	}
 }
 
-// TestLateStartIsRetried: the clock that comes with the answer makes the next start one in time.
+// TestLateStartIsRetried guards against a task that leaves its worker after one late start: the clock reading in
+// the answer makes the next start one in time.
 func TestLateStartIsRetried(t *testing.T) {
 	w := lastingWorld(t)
 	w.interruptLasting()
@@ -211,8 +214,8 @@
 	require.Equal(t, 2, w.runner.RunsOn(w.workers[at].ID))
 }
 
-// TestQueuedStartKeepsItsWorker: a start that hasn't left a busy owner for seconds says nothing of its worker. To
-// move the task each time it waits would be without end.
+// TestQueuedStartKeepsItsWorker guards against a task that leaves its worker because its start has been queued in a
+// busy owner for seconds. That says nothing about the worker, and the task would move without end.
 func TestQueuedStartKeepsItsWorker(t *testing.T) {
 	w := lastingWorld(t)
 	w.interruptLasting()
--- a/internal/workflow/planner/lastingwaits_test.go
+++ b/internal/workflow/planner/lastingwaits_test.go
@@ -12,17 +12,16 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// lossesBeforeFailure is as many losses as a task has that is given up at the next one.
+// lossesBeforeFailure is how many losses a task has that is given up at the next one.
 const lossesBeforeFailure = 4
 
-// shortRun is how long the runs of suspects go on here before something happens: too short for them to have
-// outlived a crash.
+// shortRun is how long the runs of suspects go on here before the next event: too short to have outlived a crash.
 const shortRun = 150 * cottonlanding.Millis(1)
 
-// turnsPerSilence is after how many turns another worker falls silent, so that there always is one that just has.
+// turnsPerSilence is after how many turns another worker falls silent, so that there is always one that just has.
 const turnsPerSilence = 15
 
-// setLosses has the first task of a workflow be a suspect, for another owner.
+// setLosses makes the first task of a workflow a suspect, for another owner.
 func (w *world) setLosses(id cottonlanding.WorkflowID, losses int) {
 	key := planner.StateKey(partition, id)
 	row := w.rows[key]
@@ -40,7 +39,8 @@
 	w.takeOver()
 }
 
-// suspectWorld is a cell of many workers, one of which has just begun a lasting task that is given up at the next loss.
+// suspectWorld is a world of many workers, one of which has just begun a lasting task that is given up at the next
+// loss.
 func suspectWorld(t require.TestingT) (w *world, at int) {
 	w = newSpreadWorld(t)
 	for range 20 {
@@ -59,8 +59,8 @@
 	return w, at
 }
 
-// downFor lets turns pass, with something happening in each, until all tasks of a workflow run, or much longer than they
-// may be down. It returns how long that took.
+// downFor lets turns pass, with a call of meanwhile after each, until all tasks of a workflow run, or for much
+// longer than they may be down. It returns how long that took.
 func (w *world) downFor(id cottonlanding.WorkflowID, tasks int, meanwhile func()) cottonlanding.Millis {
 	since := w.now
 	for w.now-since < 3*startWithin {
@@ -73,8 +73,9 @@
 	return w.now - since
 }
 
-// TestTaskWithOneLossLeftRestartsInTime: a lasting task that is given up at the next loss waited for news of its last worker
-// for 15 s from when its lease had run out, beside workers that had room: it was down for three times as long as it may be.
+// TestTaskWithOneLossLeftRestartsInTime guards against a lasting task that is given up at the next loss and waits
+// for an answer of its last worker, for 15 s from the end of its lease, beside workers with room: it was down for
+// three times as long as it may be.
 func TestTaskWithOneLossLeftRestartsInTime(t *testing.T) {
 	w, at := suspectWorld(t)
 	w.runner.Dark(w.workers[at].ID, true)
@@ -86,8 +87,8 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestSuspectRestartsAmongSilentWorkers: the same task waited for 15 s for an instant at which no worker had
-// just fallen silent.
+// TestSuspectRestartsAmongSilentWorkers guards against the same task waiting 15 s for an instant at which no worker
+// has just fallen silent.
 func TestSuspectRestartsAmongSilentWorkers(t *testing.T) {
 	w, at := suspectWorld(t)
 	next := 0
@@ -111,8 +112,8 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestInterruptedTaskTakesUselessHold: a worker was kept time and again for a lasting task that
-// never had room there, and another one that was interrupted later and had room there waited for as long.
+// TestInterruptedTaskTakesUselessHold guards against a worker that is held time and again for a lasting task that
+// never has room there, while another one that was interrupted later and has room there waits for as long.
 func TestInterruptedTaskTakesUselessHold(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.submit("lasting", "Urgent", lasting(3, 1, 5300))
@@ -131,10 +132,11 @@
 	w.play(heldWithin)
 	w.workers[5].State = cottonlanding.Leaving
 	w.relist()
-	require.Less(t, w.downFor("least", 1, func() {}), startWithin, "the room is kept for a task that doesn't fit there")
+	require.Less(t, w.downFor("least", 1, func() {}), startWithin, "the worker is held for a task that doesn't fit there")
 }
 
-// shortTaskStream returns a function that hands in a workflow of nine short tasks, which take up to 1.6 s, every so many turns.
+// shortTaskStream returns a function that submits a workflow of nine short tasks, which take up to 1.6 s, every so
+// many turns.
 func (w *world) shortTaskStream(turns int) func() {
 	step := short(2000)
 	step.Tasks = 9
@@ -146,7 +148,7 @@
 	}
 }
 
-// playWith lets turns pass with something happening in each.
+// playWith lets turns pass, with a call of meanwhile after each.
 func (w *world) playWith(span cottonlanding.Millis, meanwhile func()) {
 	for end := w.now + span; w.now < end; {
 		w.turn(turnSpan)
@@ -154,8 +156,8 @@
 	}
 }
 
-// TestLostTaskHoldsWorkerInTime: of a task that was lost with a silent worker, the time until a worker was kept for it
-// counted from when its lease had run out, so that it was down for over 11 s among short tasks that left room for two of it.
+// TestLostTaskHoldsWorkerInTime guards against a wait for a held worker that counts from the end of a silent
+// worker's lease: its task was down for over 11 s among short tasks that left room for two of it.
 func TestLostTaskHoldsWorkerInTime(t *testing.T) {
 	w := newSpreadWorld(t)
 	for range 5 {
@@ -173,8 +175,8 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestManyInterruptedTasksRestartInTime: one worker at a time was kept for all lasting tasks of a cell, so that of many
-// that were interrupted at once among short tasks the last ones were down for too long.
+// TestManyInterruptedTasksRestartInTime guards against a cell that holds one worker at a time for all its lasting
+// tasks: of many that were interrupted at once among short tasks, the last ones were down for too long.
 func TestManyInterruptedTasksRestartInTime(t *testing.T) {
 	const interrupted = 12
 	w := newSpreadWorld(t)
@@ -203,8 +205,9 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestDelegatedTaskIsDownFromItsLastRun: in its keeper's cell, a task that another cell ran counted as down since before it
-// was delegated, so that it went before others and took kept room at once when it came back.
+// TestDelegatedTaskIsDownFromItsLastRun guards against a task that runs in another cell and counts as down in its
+// delegator's cell since before it was delegated: when it came back, it went before others and took held room at
+// once.
 func TestDelegatedTaskIsDownFromItsLastRun(t *testing.T) {
 	n, question := newDelegatedTasks(t)
 	for range 120 {
@@ -218,9 +221,9 @@
 	}
 }
 
-// TestSilentWorkerIsLostDespiteStarts: each start that went to a worker until a look at it had failed, two seconds
-// after its last answer, extended the lease by which the runs of the owner there surely end, so that a lasting task on
-// a worker that gets starts all the time was known to be lost as much later.
+// TestSilentWorkerIsLostDespiteStarts guards against starts that extend the lease of a silent worker until a poll
+// of it fails, two seconds after its last answer: the loss of a lasting task on a worker that gets starts all the
+// time was known as much later.
 func TestSilentWorkerIsLostDespiteStarts(t *testing.T) {
 	const pollFailsAfter = 1800 * cottonlanding.Millis(1)
 	w := lastingWorld(t)
@@ -253,8 +256,8 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestFewWorkersAreHeldInFullCell: of a cell full of lasting tasks a quarter of the workers was kept for those that were
-// interrupted, and their room was missing to smaller ones here and in other cells.
+// TestFewWorkersAreHeldInFullCell guards against too many held workers in a cell full of lasting tasks: a quarter
+// of them was held for interrupted tasks, and smaller ones here and in other cells lacked their room.
 func TestFewWorkersAreHeldInFullCell(t *testing.T) {
 	const filled, interrupted = 44, 8
 	var leaving []int
--- a/internal/workflow/planner/leasebounds_test.go
+++ b/internal/workflow/planner/leasebounds_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// ownerTimeToLive is how long an owner surely owns its cell after a beat, as in service.
+	// ownerTimeToLive is how long an owner is guaranteed to own its cell after a beat, as in production.
 	ownerTimeToLive = 1200 * cottonlanding.Millis(1)
-	// ownerGoneAfter is how long after its last beat an owner surely renews nothing any more: its time to live
-	// and the grace of one that has lost the table.
+	// ownerGoneAfter is how long after its last beat an owner is guaranteed to renew nothing any more: its time to
+	// live, and the grace of an owner that has lost the table.
 	ownerGoneAfter = ownerTimeToLive + 2*cottonlanding.Second
 )
 
-// newOwnedWorld returns a world with the spans of service whose owners know until when they own the cell.
+// newOwnedWorld returns a world with the timing of production whose owners know until when they own the cell.
 func newOwnedWorld(t require.TestingT) *world {
 	w := newSpreadWorld(t)
 	w.timing.CutOffGrace, w.timing.MaxLeasePastOwnership = ownerGoneAfter-ownerTimeToLive, w.timing.Lease+cottonlanding.Second
@@ -29,17 +29,17 @@
 	return w
 }
 
-// crashForGood crashes a worker for good. Its entry goes some seconds later.
+// crashForGood crashes a worker that does not come back. Its entry stays until delist, some seconds later.
 func (w *world) crashForGood(id cottonlanding.WorkerID) { w.runner.Crash(id) }
 
-// delist takes a worker off the list.
+// delist removes a worker from the list.
 func (w *world) delist(id cottonlanding.WorkerID) {
 	w.workers = slices.DeleteFunc(slices.Clone(w.workers), func(info cottonlanding.WorkerInfo) bool { return info.ID == id })
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 }
 
-// downAfterLoss plays a worker that is lost for good under four lasting tasks, with owners that change some times at a
-// distance, and returns how long after the loss all run again.
+// downAfterLoss loses a worker with four lasting tasks for good while the owner changes a number of times, and
+// returns how long after the loss all tasks run again.
 func downAfterLoss(t require.TestingT, first, every cottonlanding.Millis, changes int) cottonlanding.Millis {
 	const step, unlisted = 50 * cottonlanding.Millis(1), 4500 * cottonlanding.Millis(1)
 	w := newOwnedWorld(t)
@@ -64,8 +64,8 @@
 	return w.now - lost
 }
 
-// TestLeaseWaitSurvivesOwnerChanges: each change of owner began the wait anew for the leases of a worker that is lost, so that its
-// lasting tasks stayed down for as long as owners changed.
+// TestLeaseWaitSurvivesOwnerChanges guards against a wait for the leases of a lost worker that restarts with each
+// change of owner, so that its lasting tasks stay down for as long as owners change.
 func TestLeaseWaitSurvivesOwnerChanges(t *testing.T) {
 	for _, first := range []cottonlanding.Millis{2500, 3000, 4000, 5000} {
 		for _, every := range []cottonlanding.Millis{2000, 3000, 5000, 7000} {
@@ -76,7 +76,7 @@
 	}
 }
 
-// playWithoutCommits lets a while pass in which nothing is committed.
+// playWithoutCommits lets time pass in which nothing is committed.
 func (w *world) playWithoutCommits(span cottonlanding.Millis) {
 	for end := w.now + span; w.now < end; {
 		w.now += turnSpan
@@ -86,8 +86,9 @@
 	}
 }
 
-// TestLeasesRespectWrittenBound: a worker is back while its bound can't be taken off, and silent again when the owner changes. A lease that
-// was granted meanwhile would let its runs go on beside those that the next owner starts.
+// TestLeasesRespectWrittenBound guards against a lease that is granted while a bound of its worker is stored: a
+// worker is back before its bound can be removed, and silent again when the owner changes. Its runs would go on
+// beside those that the next owner starts.
 func TestLeasesRespectWrittenBound(t *testing.T) {
 	for back := cottonlanding.Second; back < 5*cottonlanding.Second; back += 500 {
 		w := newOwnedWorld(t)
@@ -107,8 +108,8 @@
 	}
 }
 
-// TestLeaseBoundsUnderFaults: a worker that is silent and back, behind any number of owners, runs no task that was given up while its
-// lease still lasted.
+// TestLeaseBoundsUnderFaults guards against tasks that run twice because they were given up while a lease of their
+// silent worker still lasted, through any number of owners.
 func TestLeaseBoundsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newOwnedWorld(t)
@@ -149,8 +150,8 @@
 	})
 }
 
-// TestBoundsOfOlderOwnersAreIgnored: an owner of older code grants leases beside bounds that it doesn't know of. What the
-// owner before that one has written says nothing of them.
+// TestBoundsOfOlderOwnersAreIgnored guards against the use of bounds although an owner of older code came after the
+// one that wrote them: it does not know the row, and grants leases beyond the bounds.
 func TestBoundsOfOlderOwnersAreIgnored(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.play(cottonlanding.Second)
@@ -175,14 +176,14 @@
 	}
 }
 
-// TestTaskLostWithItsOwnerRunsAgain: a lasting task whose worker and owner are lost at the same instant stayed down for longer than
-// its users' rule allows, since a cut-off owner might have renewed the lease for long.
+// TestTaskLostWithItsOwnerRunsAgain guards against a downtime beyond the users' rule of a lasting task whose worker
+// and owner are lost at the same instant: a cut-off owner was assumed to renew the lease for long.
 func TestTaskLostWithItsOwnerRunsAgain(t *testing.T) {
 	require.LessOrEqual(t, downAfterLoss(t, 0, 0, 1), otherCellRestartTimeout)
 }
 
-// TestCutOffOwnerRespectsLeaseTail: an owner that is cut off renews leases on its workers, which its successor can't reach, for no longer
-// than the successor counts on.
+// TestCutOffOwnerRespectsLeaseTail guards against an owner that is cut off and renews leases for longer than its
+// successor assumes, which cannot reach the workers.
 func TestCutOffOwnerRespectsLeaseTail(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.play(cottonlanding.Second)
@@ -205,8 +206,9 @@
 	require.Equal(t, 4, w.runner.Lasting())
 }
 
-// TestLastingTasksAvoidNewLife: leases that were meant for the life before may reach the next one, which cuts them to the longest
-// that workers take. A lasting task that began there and lost its worker once more stayed down for that long.
+// TestLastingTasksAvoidNewLife guards against lasting tasks that are placed on a life that has just begun. Leases
+// meant for the previous life may reach it, and it cuts them to the longest that workers accept: a task that lost
+// this worker too would be down for that long.
 func TestLastingTasksAvoidNewLife(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.timing.MaxLease = 10 * cottonlanding.Second
@@ -228,8 +230,9 @@
 	require.Equal(t, 1, w.runner.RunsOn("w1"), "no other has room")
 }
 
-// TestLeasesSurviveSlowTable: a worker that is cut off for a moment while the table is slow goes on with its tasks. Its lease would run out
-// if it had to wait for two slow commits, one for its bound and one to take that off.
+// TestLeasesSurviveSlowTable guards against tasks that are lost because a worker is cut off for a moment while the
+// table is slow: its lease runs out if it has to wait for two slow commits, one for its bound and one to remove
+// that.
 func TestLeasesSurviveSlowTable(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.play(cottonlanding.Second)
@@ -246,7 +249,7 @@
 	require.Equal(t, started, w.runner.Starts())
 }
 
-// playSlowTable lets a while pass in which each commit takes two and a half seconds.
+// playSlowTable lets time pass in which each commit takes two and a half seconds.
 func (w *world) playSlowTable(span cottonlanding.Millis) {
 	for end := w.now + span; w.now < end; {
 		w.playWithoutCommits(min(2500, end-w.now))
--- a/internal/workflow/planner/logbatch_test.go
+++ b/internal/workflow/planner/logbatch_test.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// TestStoppedRunLogsDelays: how long a stop waited here, and how long on
-// its way, must be told apart afterwards.
+// TestStoppedRunLogsDelays guards against logs that do not separate how long a stop waited in the owner from how
+// long it was in transit.
 func TestStoppedRunLogsDelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -59,7 +59,7 @@
 	})
 }
 
-// TestPlacedTasksAreLoggedTogether: the log of an owner must not grow by a line a task.
+// TestPlacedTasksAreLoggedTogether guards against a log line for each placed task.
 func TestPlacedTasksAreLoggedTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
--- a/internal/workflow/planner/logkinds_test.go
+++ b/internal/workflow/planner/logkinds_test.go
@@ -13,10 +13,11 @@
 	"github.com/cottonlanding/cottonlanding/internal/log/writer"
 )
 
-// TestLastingTaskLogsSurviveBusySecond guards against a log in which the lines of thousands of short tasks hide what became
-// of lasting ones: the busiest second tells which of them are down, which run again, and why workers were lost.
+// TestLastingTaskLogsSurviveBusySecond guards against lines about thousands of short tasks that displace those
+// about lasting ones: the log of the busiest second shows which lasting tasks are down, which run again, and why
+// workers were lost.
 func TestLastingTaskLogsSurviveBusySecond(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // in which all is written within one second of the log
+	synctest.Test(t, func(t *testing.T) { // all lines fall into one second of the log
 		w := newSpreadWorld(t)
 		out := &bytes.Buffer{}
 		lines := writer.New(out)
--- a/internal/workflow/planner/rows_fuzz_test.go
+++ b/internal/workflow/planner/rows_fuzz_test.go
@@ -8,8 +8,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// FuzzRows checks that an owner refuses or takes in the rows of a workflow, and can decide
-// with what it has taken in.
+// FuzzRows checks that an owner refuses or loads the rows of a workflow, and can decide with what it has loaded.
 func FuzzRows(f *testing.F) {
 	spec := []byte(`{"Workflow":{"ID":"w","Queue":"Urgent","Steps":[{"Tasks":2,"Resources":{"CPU":100}}]},"Queue":{"Name":"Urgent","Service":"S"}}`)
 	f.Add(spec, []byte(`{"State":"Running","Begun":true,"Rounds":1,"Tasks":[["A",3,"w1",0,"",2,1],["D"]]}`))
--- a/internal/workflow/planner/rowsimulation_test.go
+++ b/internal/workflow/planner/rowsimulation_test.go
@@ -11,8 +11,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// rowSimulation plays one cell and the workers of one service, each of which ends all that it starts by the next
-// look, and checks the length of each row.
+// rowSimulation simulates one cell and the workers of one service, each of which ends all that it starts by the
+// next poll, and checks the length of each row.
 type rowSimulation struct {
 	t       require.TestingT
 	now     cottonlanding.Millis
@@ -21,12 +21,11 @@
 	workers []cottonlanding.WorkerInfo
 	rows    map[cottonlanding.Key]cottonlanding.Row
 	version cottonlanding.Version
-	// runs holds what each worker runs, ends all that has ended, seen how many of these an owner has
-	// taken note of.
+	// runs holds what each worker runs, ends all that has ended, seen how many of these ends an owner has recorded.
 	runs map[cottonlanding.WorkerID][]cottonlanding.RunKey
 	ends map[cottonlanding.WorkerID][]cottonlanding.RunEnd
 	seen map[cottonlanding.WorkerID]uint64
-	// starts counts the starts of each task, kind is how the runs end; where it's empty they go on.
+	// starts counts the starts of each task, kind is how the runs end; if it is empty, they go on.
 	starts map[cottonlanding.TaskRef]int
 	kind   cottonlanding.EndKind
 	// stopped is a task all of whose runs are stopped, unless it is nil.
@@ -56,7 +55,7 @@
 	return out
 }
 
-// replaceWorkers has other workers in place of all.
+// replaceWorkers replaces all workers by others.
 func (p *rowSimulation) replaceWorkers(ids ...cottonlanding.WorkerID) {
 	p.workers = rowWorkers(ids...)
 	p.cell.SetWorkers(p.workers, p.now)
@@ -79,7 +78,7 @@
 	require.NoError(p.t, p.cell.Load(specs, states, p.now))
 }
 
-// commit decides and commits, and checks each row.
+// commit decides and commits, and checks the length of each row.
 func (p *rowSimulation) commit() {
 	p.cell.Decide(p.now, int64(p.now))
 	plan := p.cell.Plan(p.now)
@@ -94,7 +93,7 @@
 	p.cell.Committed(plan, p.version)
 }
 
-// crash has a worker come back in another life, which knows nothing of the one before.
+// crash has a worker come back in another life, which knows nothing of the previous one.
 func (p *rowSimulation) crash(at int) {
 	p.workers = slices.Clone(p.workers)
 	p.workers[at].Born++
@@ -112,7 +111,7 @@
 	return out
 }
 
-// order takes all orders: starts run from now on.
+// order executes all orders: starts run from now on.
 func (p *rowSimulation) order() {
 	for _, order := range p.cell.Orders(p.now) {
 		if id := order.Worker.Life.Worker; order.Verb == planner.VerbStart {
@@ -123,7 +122,7 @@
 	}
 }
 
-// poll asks all workers; what they ran before has ended.
+// poll polls all workers; what they ran before has ended.
 func (p *rowSimulation) poll() {
 	for _, worker := range p.workers {
 		next, found := p.cell.NextPoll(worker.ID, p.now)
@@ -146,7 +145,7 @@
 		}
 		delete(p.runs, worker.ID)
 		p.seen[worker.ID] = max(p.seen[worker.ID], next.Look.Seen)
-		ended := p.ends[worker.ID][min(p.seen[worker.ID], uint64(len(p.ends[worker.ID]))):] // Seen may be of the life before
+		ended := p.ends[worker.ID][min(p.seen[worker.ID], uint64(len(p.ends[worker.ID]))):] // Seen may be of the previous life
 		report.Ended = ended[:min(len(ended), 500)]
 		p.cell.PollAnswered(next, report, p.now, p.now)
 	}
@@ -159,7 +158,7 @@
 	p.poll()
 }
 
-// playUntilDone plays turns, with another owner now and then, until the workflow has succeeded.
+// playUntilDone lets turns pass, with another owner now and then, until the workflow has succeeded.
 func (p *rowSimulation) playUntilDone(id cottonlanding.WorkflowID, turns int) {
 	for at := range turns {
 		p.turn()
@@ -184,7 +183,7 @@
 	require.True(p.t, answered)
 }
 
-// step returns a step of equal tasks.
+// plainStep returns a step of equal tasks.
 func plainStep(tasks int) cottonlanding.Step {
 	return cottonlanding.Step{Tasks: tasks, Resources: cottonlanding.Resources{CPU: 1}, Estimate: 100}
 }
--- a/internal/workflow/planner/rowsize_test.go
+++ b/internal/workflow/planner/rowsize_test.go
@@ -13,8 +13,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestLongSchedulesRun: the rounds of a schedule that together fit no row, due all at once, are run
-// one after the other, each task once, also where owners change.
+// TestLongSchedulesRun guards against schedules that do not run because their rounds are due at once and do not fit
+// one row together: they run one after the other, each task once, also where owners change.
 func TestLongSchedulesRun(t *testing.T) {
 	for _, one := range []struct{ tasks, rounds int }{{1, 12_000}, {200, 100}, {1000, 12}} {
 		t.Run(fmt.Sprintf("%d rounds of %d", one.rounds, one.tasks), func(t *testing.T) {
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestOlderOwnersRowWithManyRounds: a row that an owner of older code has left may hold more rounds than fit with all their
-// tasks placed. Those of which nothing has begun wait for the others.
+// TestOlderOwnersRowWithManyRounds guards against a row that an owner of older code has left with more rounds than
+// fit with all their tasks placed: rounds of which nothing has begun wait for the others.
 func TestOlderOwnersRowWithManyRounds(t *testing.T) {
 	const rounds = 20
 	p := newRowSimulation(t, "w1", "w2")
@@ -46,8 +46,9 @@
 	require.Len(t, p.starts, 1000*(rounds-1))
 }
 
-// TestOlderCodeRefusesShortenedRows: it would take the tasks of later rounds for those of the first ones, and
-// start tasks that are done. It reads all other rows, whose count of rounds is a number as before.
+// TestOlderCodeRefusesShortenedRows guards against older code that reads a row without its first rounds: it would
+// take the tasks of later rounds for those of the first, and start tasks that are done. All other rows have a
+// number as count of rounds, which older code reads.
 func TestOlderCodeRefusesShortenedRows(t *testing.T) {
 	p := newRowSimulation(t, "w1")
 	schedule := func(rounds int) cottonlanding.Schedule { return cottonlanding.Schedule{First: 1, Rounds: rounds} }
@@ -62,13 +63,13 @@
 	require.Error(t, json.Unmarshal(p.rows[planner.StateKey(partition, "many")].Value, &older))
 }
 
-// longID returns the id of a worker of so many bytes.
+// longID returns the id of a worker, a letter repeated a number of times.
 func longID(letter string, length int) cottonlanding.WorkerID {
 	return cottonlanding.WorkerID(strings.Repeat(letter, length))
 }
 
-// TestTasksRunOnWorkersWithLongIDs: tasks that the row can't hold all at once with the ids of their workers are
-// run one after the other, each once, however long the ids are, alone or beside many rounds.
+// TestTasksRunOnWorkersWithLongIDs guards against tasks that do not run, or run twice, because the row cannot hold
+// all of them at once with the ids of their workers: they run one after the other, alone or beside many rounds.
 func TestTasksRunOnWorkersWithLongIDs(t *testing.T) {
 	t.Parallel()
 	for name, id := range map[string]cottonlanding.WorkerID{
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestLargestWorkflowRunsAtOnce: where ids of workers have two dozen bytes, all tasks of the largest workflow are placed at
-// once, as a gang too.
+// TestLargestWorkflowRunsAtOnce guards against a bound that delays tasks of the largest workflow: where ids of
+// workers have two dozen bytes, all its tasks are placed at once, as a gang too.
 func TestLargestWorkflowRunsAtOnce(t *testing.T) {
 	for name, change := range map[string]func(*cottonlanding.Step){
 		"plain":   func(*cottonlanding.Step) {},
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestWorkflowTooLargeForItsRowIsRefused: lasting tasks and gangs that a row can't hold all at once with the ids of the
-// workers would wait for good.
+// TestWorkflowTooLargeForItsRowIsRefused guards against lasting tasks and gangs that wait forever because a row
+// cannot hold all of them at once with the ids of the workers.
 func TestWorkflowTooLargeForItsRowIsRefused(t *testing.T) {
 	lasting, gang := plainStep(1000), plainStep(1000)
 	lasting.Lasting, gang.Gang = true, true
@@ -156,8 +157,8 @@
 	}
 }
 
-// TestGangWaitsForRoomInItsRow: workers with long ids may come after a gang was accepted. It isn't placed then,
-// and is once there are others.
+// TestGangWaitsForRoomInItsRow guards against a gang that is placed on workers with long ids, which came after it
+// was accepted, although its row has no room for them. It is placed once there are others.
 func TestGangWaitsForRoomInItsRow(t *testing.T) {
 	p := newRowSimulation(t)
 	gang := plainStep(900)
@@ -173,8 +174,8 @@
 	require.Len(t, p.starts, 900)
 }
 
-// TestRowSizeIsUpperBound plays workflows whose tasks fail, crash their workers and are taken over, and holds each
-// row against what was counted for it.
+// TestRowSizeIsUpperBound guards against rows that take more than was counted for them, with workflows whose tasks
+// fail, crash their workers and are taken over.
 func TestRowSizeIsUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		letters := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b<", "c\"", "d\n", "\ufffd", "é", "\u2028"}), 1, 4).Draw(t, "Letters")
@@ -215,7 +216,8 @@
 	})
 }
 
-// TestRowSizeCoversLargestNumbers: what is counted covers a task with the largest numbers that one can come to.
+// TestRowSizeCoversLargestNumbers guards against tasks with the largest possible numbers that take more than was
+// counted.
 func TestRowSizeCoversLargestNumbers(t *testing.T) {
 	const tasks = 1000
 	p := newRowSimulation(t)
@@ -232,7 +234,8 @@
 	require.LessOrEqual(t, counted, 65_000)
 }
 
-// TestRowSizeCoversLongReasons: the reason of a workflow that has failed names it and a worker, and their ids may be long.
+// TestRowSizeCoversLongReasons guards against a reason that takes more than was counted: that of a failed workflow
+// names it and a worker, and their ids may be long.
 func TestRowSizeCoversLongReasons(t *testing.T) {
 	id := cottonlanding.WorkflowID(strings.Repeat("<", 600))
 	p := newRowSimulation(t, longID("<", 200))
@@ -247,8 +250,8 @@
 	require.LessOrEqual(t, bytes, counted)
 }
 
-// TestLargeWorkflowStaysInItsCell: a workflow that was accepted and is handed over must be taken there, also where
-// the workers have longer ids.
+// TestLargeWorkflowStaysInItsCell guards against the handover of an accepted workflow that the other cell would
+// refuse, since its workers may have longer ids.
 func TestLargeWorkflowStaysInItsCell(t *testing.T) {
 	p := newRowSimulation(t)
 	for id, tasks := range map[cottonlanding.WorkflowID]int{"few": 200, "many": 600} {
@@ -264,8 +267,8 @@
 	other.requireAccepted(leavers[0])
 }
 
-// TestFirstRoundFinishesLast: while the first round goes on, later ones that are finished stay in the row. They leave room for it to
-// run on a worker with the longest id.
+// TestFirstRoundFinishesLast guards against finished rounds that leave the first one no room to run on a worker
+// with the longest id: they stay in the row while the first one goes on.
 func TestFirstRoundFinishesLast(t *testing.T) {
 	const rounds = 10_600
 	p := newRowSimulation(t, "w1")
@@ -282,8 +285,8 @@
 	require.Len(t, p.starts, rounds)
 }
 
-// TestFinishedRoundsMakeRoomForGang: rounds that are over give way to a gang on workers with long ids, also where no
-// other round is due.
+// TestFinishedRoundsMakeRoomForGang guards against finished rounds that leave a gang on workers with long ids no
+// room, also where no other round is due.
 func TestFinishedRoundsMakeRoomForGang(t *testing.T) {
 	const rounds, members = 68, 100
 	p := newRowSimulation(t, longID("i", 200))
--- a/internal/workflow/planner/search_test.go
+++ b/internal/workflow/planner/search_test.go
@@ -16,17 +16,17 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/selector"
 )
 
-// The search plays all interleavings of what can happen to two workers, two owners and two tasks,
-// up to a number of steps, with the real planner. States that look alike are explored once.
+// The search takes all interleavings of what can happen to two workers, two owners and two tasks, up to a number of
+// steps, with the real planner. States with equal fingerprints are explored once.
 //
-//	go test ./internal/workflow/planner -run TestSearchOfLives -search.depth 9 -search.within 10m
+//	go test ./internal/workflow/planner -run TestSearchLives -search.depth 9 -search.within 10m
 
 var (
-	searchDepth  = flag.Int("search.depth", 5, "how many steps TestSearchOfLives plays at most")
-	searchWithin = flag.Duration("search.within", time.Minute, "when a search ends even if it has not played them all")
+	searchDepth  = flag.Int("search.depth", 5, "how many steps TestSearchLives takes at most")
+	searchWithin = flag.Duration("search.within", time.Minute, "when a search ends even if it has not taken them all")
 )
 
-// searchStep is one thing that can happen.
+// searchStep is one event that can happen.
 type searchStep struct {
 	name string
 	do   func(*searchWorld)
@@ -34,7 +34,7 @@
 	may func(*searchWorld) bool
 }
 
-// searchWorld is a world with the bounds of the search.
+// searchWorld is a world that counts the events which the search limits.
 type searchWorld struct {
 	*world
 	restarts, owners, waits, silences int
@@ -66,10 +66,10 @@
 		_, _ = s.send(s.late[0])
 		s.late = s.late[1:]
 	}, may: func(s *searchWorld) bool { return len(s.late) > 0 }},
-	{name: "looks", do: func(s *searchWorld) { s.pollAll() }},
-	{name: "looks unanswered", do: func(s *searchWorld) { s.pollAllUnanswered() }},
-	{name: "w1 reborn", do: func(s *searchWorld) { s.searchRestart(0) }, may: func(s *searchWorld) bool { return s.restarts < maxRestarts }},
-	{name: "w2 reborn", do: func(s *searchWorld) { s.searchRestart(1) }, may: func(s *searchWorld) bool { return s.restarts < maxRestarts }},
+	{name: "polls", do: func(s *searchWorld) { s.pollAll() }},
+	{name: "polls unanswered", do: func(s *searchWorld) { s.pollAllUnanswered() }},
+	{name: "w1 restarts", do: func(s *searchWorld) { s.searchRestart(0) }, may: func(s *searchWorld) bool { return s.restarts < maxRestarts }},
+	{name: "w2 restarts", do: func(s *searchWorld) { s.searchRestart(1) }, may: func(s *searchWorld) bool { return s.restarts < maxRestarts }},
 	{name: "w2 silent", do: func(s *searchWorld) { s.setSilent(true) }, may: func(s *searchWorld) bool { return s.silences < maxSilences }},
 	{name: "w2 answers", do: func(s *searchWorld) { s.setSilent(false) }, may: func(s *searchWorld) bool { return s.silences > 0 }},
 	{name: "entries", do: func(s *searchWorld) { s.relist() }},
@@ -84,7 +84,7 @@
 	}, may: func(s *searchWorld) bool { return s.owners < maxOwners }},
 }
 
-// setSilent makes the second worker silent while it runs on, or ends that.
+// setSilent makes the second worker silent while its runs go on, or ends that.
 func (s *searchWorld) setSilent(dark bool) {
 	if dark {
 		s.silences++
@@ -98,9 +98,9 @@
 	s.dropLateOrders()
 }
 
-// newSearchWorld returns two workers that have done one task each, and two tasks that are handed in.
+// newSearchWorld returns two workers that have done one task each, and two tasks that are submitted.
 func newSearchWorld(t require.TestingT) *searchWorld {
-	// Fair blame would give up a task whose worker crashes by itself just after each start.
+	// Fair crash attribution would give up a task whose worker crashes by itself just after each start.
 	set, err := selector.New(selector.Names{"ShortPlacement": "spread", "LastingPlacement": "spread", "Blame": "count"})
 	require.NoError(t, err)
 	w := newWorldOf(t, set.Planner)
@@ -117,9 +117,9 @@
 	return &searchWorld{world: w}
 }
 
-// playPath plays a path of steps, each 10 ms after the one before, and reports whether all of
-// them could happen. Runs that end at one instant on one worker are listed in any order, so
-// that a path doesn't always lead to the same state.
+// playPath takes a path of steps, each 10 ms after the one before, and reports whether all of them could happen.
+// Runs that end at one instant on one worker are listed in any order, so that a path does not always lead to the
+// same state.
 func (s *searchWorld) playPath(steps []searchStep, path []byte) bool {
 	for _, at := range path {
 		if may := steps[at].may; may != nil && !may(s) {
@@ -144,7 +144,7 @@
 	return sum.Sum64()
 }
 
-// violation returns what must not be true in a state, or "".
+// violation returns which invariant a state violates, or "".
 func (s *searchWorld) violation() string {
 	if violations := s.runner.Violations(); len(violations) > 0 {
 		return violations[0]
@@ -160,7 +160,7 @@
 	return ""
 }
 
-// unfinished lets all go well and returns what has not come to its end.
+// unfinished ends all faults, lets time pass, and returns what has not come to its end.
 func (s *searchWorld) unfinished() string {
 	s.relist()
 	s.setSilent(false)
@@ -176,7 +176,7 @@
 	}
 	for id := range s.accepted {
 		if state, _ := s.cell.State(id); state != cottonlanding.WorkflowSucceeded {
-			return fmt.Sprintf("%s is %q 20 s after the last trouble", id, state)
+			return fmt.Sprintf("%s is %q 20 s after the last fault", id, state)
 		}
 	}
 	if running := s.runner.Running(); running > 0 {
@@ -185,11 +185,11 @@
 	return ""
 }
 
-// search explores by breadth, so that the first fault has the shortest path.
+// search explores breadth-first, so that the first fault has the shortest path.
 type search struct {
 	t     *testing.T
 	until time.Time
-	// world makes the world in which the steps are played.
+	// world makes the world in which the steps are taken.
 	world func(require.TestingT) *searchWorld
 	steps []searchStep
 
@@ -199,7 +199,7 @@
 	faults map[string][]byte
 }
 
-// visit plays a path with one more step, and keeps it if its state is new.
+// visit takes a path with one more step, and keeps it if its state is new.
 func (s *search) visit(path []byte, step int) {
 	w := s.world(s.t)
 	path = append(append([]byte(nil), path...), byte(step))
@@ -229,7 +229,7 @@
 	}
 }
 
-// run plays all paths of up to a number of steps, and reports the faults with their paths.
+// run takes all paths of up to a number of steps, and reports the faults with their paths.
 func (s *search) run(deepest int) {
 	s.until = time.Now().Add(*searchWithin)
 	s.seen, s.faults = make(map[uint64]bool), make(map[string][]byte)
@@ -249,7 +249,7 @@
 	}
 }
 
-// expand plays one more step after each of the paths.
+// expand takes one more step after each of the paths.
 func (s *search) expand(paths [][]byte) {
 	work := make(chan []byte)
 	var workers sync.WaitGroup
@@ -272,10 +272,10 @@
 	workers.Wait()
 }
 
-// TestSearchLives: in every state that workers which crash and come back under their ids, late,
-// lost and unanswered orders and looks, entries and a change of owner lead to within a number
-// of steps, no task runs twice or is done twice, none waits for ever, no run is left, and no
-// clock is believed to be ahead of itself.
+// TestSearchLives guards against tasks that run or are done twice, tasks that wait forever, runs that are left, and
+// clocks that are believed to be ahead of themselves, in every state within a number of steps. The steps are
+// crashes of workers that come back under their ids, late, lost and unanswered orders and polls, list entries, and
+// a change of owner.
 func TestSearchLives(t *testing.T) {
 	s := &search{t: t, world: newSearchWorld, steps: searchSteps}
 	s.run(*searchDepth)
--- a/internal/workflow/planner/simulatedcell_test.go
+++ b/internal/workflow/planner/simulatedcell_test.go
@@ -15,21 +15,21 @@
 const (
 	// callTimeout is how long a call waits for an answer.
 	callTimeout = cottonlanding.Second
-	// ownerTTL is how long an owner lasts without a beat, mostBeatAge how old its last beat is at most when it ends.
+	// ownerTTL is how long an owner lasts without a beat, maxBeatAge how old its last beat is at most when it ends.
 	ownerTTL   = 1200 * cottonlanding.Millis(1)
 	maxBeatAge = 300 * cottonlanding.Millis(1)
 	// maxCommitTurns is how many turns a commit takes at most.
 	maxCommitTurns = 3
 )
 
-// platformTiming holds the spans of the owners on the users' platform.
+// platformTiming is the timing of the owners on the users' platform.
 var platformTiming = planner.Timing{
 	Lease: 6 * cottonlanding.Second, MaxLease: 10 * cottonlanding.Second, CutOffGrace: 2 * cottonlanding.Second,
 	MaxLeasePastOwnership: 7 * cottonlanding.Second,
 	StopTimeout:           300, Retention: 10 * cottonlanding.Minute,
 }
 
-// sentPoll is a look whose answer the worker may hold back until an instant.
+// sentPoll is a poll whose answer the worker may delay until an instant.
 type sentPoll struct {
 	next    planner.NextPoll
 	sentAt  cottonlanding.Millis
@@ -37,7 +37,7 @@
 	failure error
 }
 
-// sentOrder is an order that was sent, with what becomes of it at an instant.
+// sentOrder is an order that was sent, with its outcome at an instant.
 type sentOrder struct {
 	planner.Order
 	at      cottonlanding.Millis
@@ -45,30 +45,31 @@
 	err     error
 }
 
-// simulatedCell plays one cell with the cadence of real owners: looks that workers hold back, calls that take a second
-// to get no answer, commits of some turns, owners that are gone for a while.
+// simulatedCell is a world with the cadence of real owners: polls that workers delay, calls that take a second to
+// get no answer, commits that take some turns, and owners that are gone for a while.
 type simulatedCell struct {
 	*world
 	random *rand.Rand
-	// polledWorkers holds the workers that are looked at, also after their entry has gone; looks those that are under way.
+	// polledWorkers holds the workers that are polled, also after their entry has gone; polls holds the polls in
+	// flight.
 	polledWorkers map[cottonlanding.WorkerID]bool
 	polls         map[cottonlanding.WorkerID]sentPoll
-	// answers are those that haven't come yet, delayed the orders that their workers haven't carried out yet.
+	// answers have not arrived yet, delayed orders have not been executed by their workers yet.
 	answers, delayed []sentOrder
 	committedAt      cottonlanding.Millis
-	// ownedFrom is from when on there is an owner again; beforeUntil is the instant by which the one before has stopped,
-	// zero while there is one.
+	// ownedFrom is from when on there is an owner again; beforeUntil is the instant by which the previous one has
+	// stopped, zero while there is one.
 	ownedFrom, beforeUntil cottonlanding.Millis
-	// pausedUntil, tableSilentUntil and startsHeldUntil are until when the owner stands still, the table takes no
-	// commits and starts wait because lists are too old.
+	// pausedUntil, tableSilentUntil and startsHeldUntil are until when the owner is paused, the table takes no
+	// commits, and starts wait because lists are too old.
 	pausedUntil, tableSilentUntil, startsHeldUntil cottonlanding.Millis
-	// faultyUntil is until when orders to a worker fail with the odds faultOdds in a hundred, answersLostUntil until when some
-	// of its answers to looks get lost.
+	// faultyUntil is until when orders to a worker fail with a probability of faultOdds in a hundred,
+	// answersLostUntil until when some of its answers to polls are lost.
 	faultyUntil, answersLostUntil map[cottonlanding.WorkerID]cottonlanding.Millis
 	faultOdds                     int
 	evacuated                     map[cottonlanding.DataCentre]cottonlanding.Evacuation
 	evacuations                   int
-	// lastFaultAt is when a fault last befell a call.
+	// lastFaultAt is when a fault last affected a call.
 	lastFaultAt cottonlanding.Millis
 }
 
@@ -89,7 +90,7 @@
 // owned reports whether there is an owner.
 func (p *simulatedCell) owned() bool { return p.beforeUntil == 0 }
 
-// canStart reports whether an owner can start anything.
+// canStart reports whether there is an owner that can start anything.
 func (p *simulatedCell) canStart() bool {
 	return p.owned() && p.now >= p.pausedUntil && p.now >= p.tableSilentUntil && p.now >= p.startsHeldUntil
 }
@@ -103,7 +104,7 @@
 	if !p.owned() || p.now < p.pausedUntil {
 		return
 	}
-	if p.now >= p.tableSilentUntil { // a beat goes out, and its answer tells the table's clock
+	if p.now >= p.tableSilentUntil { // a beat is sent, and its answer carries the table's clock
 		p.cell.SetTableClock(p.tableClock())
 		p.renewOwnership()
 	}
@@ -115,7 +116,7 @@
 	p.pollWorkers()
 }
 
-// pollWorkers looks at all workers that are listed, or were under this owner and aren't forgotten.
+// pollWorkers polls all workers that are listed, or were under this owner and are not forgotten.
 func (p *simulatedCell) pollWorkers() {
 	for _, info := range p.workers {
 		if p.cell.HasWorker(info.ID) {
@@ -127,7 +128,7 @@
 	}
 }
 
-// endOwner has the owner be gone, and the next one come after a span.
+// endOwner ends the owner, and has the next one come after a span.
 func (p *simulatedCell) endOwner(after cottonlanding.Millis) {
 	if !p.owned() {
 		return
@@ -173,7 +174,7 @@
 	}
 }
 
-// list tells the owner of the workers as they are by now.
+// list gives the owner the present list of workers.
 func (p *simulatedCell) list() {
 	p.workers = slices.Clone(p.workers)
 	if p.owned() {
@@ -181,7 +182,7 @@
 	}
 }
 
-// playCommit has commits take some turns, or as long as the table is silent.
+// playCommit commits the plan after some turns, or once the table takes commits again.
 func (p *simulatedCell) playCommit() {
 	if p.plan == nil {
 		p.plan = p.cell.Plan(p.now)
@@ -204,7 +205,7 @@
 	}
 }
 
-// orderFault is what becomes of an order.
+// orderFault returns what goes wrong with an order, or "".
 func (p *simulatedCell) orderFault(id cottonlanding.WorkerID) string {
 	if p.now >= p.faultyUntil[id] || p.random.Intn(100) >= p.faultOdds {
 		return ""
@@ -214,7 +215,7 @@
 	return faults[p.random.Intn(len(faults))]
 }
 
-// sendOrders sends what is due. A call that gets no answer takes a second to show that.
+// sendOrders sends the due orders. A call without an answer shows that after callTimeout.
 func (p *simulatedCell) sendOrders() {
 	for _, order := range p.cell.Orders(p.now) {
 		order.SentAt = p.now
@@ -253,13 +254,13 @@
 	}
 }
 
-// executeDelayedOrders has workers carry out the orders that they have held back.
+// executeDelayedOrders has workers execute the orders that they have delayed.
 func (p *simulatedCell) executeDelayedOrders() {
 	left := p.delayed[:0]
 	for _, order := range p.delayed {
 		switch {
 		case p.lifeOf(order.Worker.Life.Worker).IsOtherThan(order.Worker.Life.Born):
-			// the life that held it back is over
+			// the life that delayed it is over
 		case p.now < order.at:
 			left = append(left, order)
 		default:
@@ -270,13 +271,13 @@
 	p.delayed = left
 }
 
-// lifeOf returns the birth of the life of a worker that is listed.
+// lifeOf returns the birth of a listed worker's current life.
 func (p *simulatedCell) lifeOf(id cottonlanding.WorkerID) cottonlanding.Birth {
 	life, _ := p.runner.Reading(id)
 	return life.Born
 }
 
-// pollWorker sends a look, or takes the answer to the one under way once the worker gives it.
+// pollWorker sends a poll, or takes the answer to the one in flight once the worker gives it.
 func (p *simulatedCell) pollWorker(id cottonlanding.WorkerID) {
 	look, underWay := p.polls[id]
 	if !underWay {
@@ -297,7 +298,7 @@
 	p.answerPoll(id, look)
 }
 
-// answerPoll has the worker answer a look if something has ended there, or the time has come.
+// answerPoll has the worker answer a poll if a run has ended there, or the wait of the poll is over.
 func (p *simulatedCell) answerPoll(id cottonlanding.WorkerID, look sentPoll) {
 	if look.failure == nil {
 		asks := cottonlanding.Look{Epoch: look.next.Look.Epoch}
@@ -322,7 +323,7 @@
 	p.cell.PollFailed(look.next, look.failure, p.now)
 }
 
-// breakConnections has the calls to a worker whose process has ended get no answer at once.
+// breakConnections ends the calls to a worker whose process has ended at once, without an answer.
 func (p *simulatedCell) breakConnections(id cottonlanding.WorkerID) {
 	if look, underWay := p.polls[id]; underWay {
 		look.until, look.failure = p.now-callTimeout, cmp.Or(look.failure, error(cottonlanding.ErrAmbiguous))
@@ -330,14 +331,14 @@
 	}
 }
 
-// addDelayedTasks adds the tasks of which workers have orders that they will carry out late.
+// addDelayedTasks adds the tasks whose orders workers have delayed.
 func (p *simulatedCell) addDelayedTasks(into map[cottonlanding.TaskRef]bool) {
 	for _, order := range p.delayed {
 		into[order.Start.Task] = true
 	}
 }
 
-// hasDelayedOrders reports whether a worker has orders that it will carry out late.
+// hasDelayedOrders reports whether a worker has delayed orders.
 func (p *simulatedCell) hasDelayedOrders(id cottonlanding.WorkerID) bool {
 	return slices.ContainsFunc(p.delayed, func(order sentOrder) bool { return order.Worker.Life.Worker == id })
 }
