--- a/internal/workflow/planner/downrow.go
+++ b/internal/workflow/planner/downrow.go
@@ -47,8 +47,8 @@
 				return
 			}
 			name := t.ref.String()
-			if shown, stored := d.stored[name]; stored {
-				d.required[name] = shown
+			if instant, stored := d.stored[name]; stored {
+				d.required[name] = instant
 				return
 			}
 			d.required[name] = c.bounds.clock.Latest(t.downSince())
@@ -83,8 +83,8 @@
 }
 
 // loadDownRecord loads when tasks went down. The first poll corrects that of a task that runs all the same.
-func (c *Cell) loadDownRecord(spans downInstants, now cottonlanding.Millis) {
-	for name, shown := range spans {
+func (c *Cell) loadDownRecord(instants downInstants, now cottonlanding.Millis) {
+	for name, instant := range instants {
 		ref, err := cottonlanding.ParseTaskRef(name)
 		if err != nil || c.jobs[ref.Workflow] == nil {
 			continue
@@ -93,7 +93,7 @@
 		if t == nil || !t.stage.Lasting {
 			continue
 		}
-		span := max(0, cottonlanding.Millis(c.bounds.clock.Latest(now)-shown))
+		span := max(0, cottonlanding.Millis(c.bounds.clock.Latest(now)-instant))
 		t.lastRunningAt = max(1, now-span)
 	}
 }
--- a/internal/workflow/planner/leasebounds.go
+++ b/internal/workflow/planner/leasebounds.go
@@ -150,8 +150,8 @@
 // boundsUsable reports whether bounds can be used: all owners since have respected them, and the table's clock has
 // not gone back.
 func (c *Cell) boundsUsable(written boundsRow, now cottonlanding.Millis) bool {
-	kept := c.setup.BoundsKeptSince > 0 && written.Epoch >= c.setup.BoundsKeptSince
-	return c.bounds.clock != nil && kept && c.bounds.clock.Latest(now) >= written.Written
+	respected := c.setup.BoundsKeptSince > 0 && written.Epoch >= c.setup.BoundsKeptSince
+	return c.bounds.clock != nil && respected && c.bounds.clock.Latest(now) >= written.Written
 }
 
 // inheritOwnersBound computes when the leases of all earlier owners have ended, from what the last of them has
@@ -160,18 +160,18 @@
 	if written.Older == 0 || c.setup.BeforeOwnedUntil == 0 {
 		return
 	}
-	itsOwn := c.setup.BeforeOwnedUntil + c.timing.MaxLeasePastOwnership +
+	writerBound := c.setup.BeforeOwnedUntil + c.timing.MaxLeasePastOwnership +
 		c.timing.maxLeaseSpan()/driftDivisor + leaseMargin
-	c.bounds.older = max(itsOwn, c.bounds.clock.Until(written.Older))
+	c.bounds.older = max(writerBound, c.bounds.clock.Until(written.Older))
 }
 
 // inheritBound takes over the stored bound of a worker.
 func (c *Cell) inheritBound(w *worker, now cottonlanding.Millis) {
-	shown, found := c.bounds.stored[w.info.ID]
+	instant, found := c.bounds.stored[w.info.ID]
 	if !found {
 		return
 	}
-	before, until := w.leaseBound, c.bounds.clock.Until(shown)+c.nextLifeExtension(w)
+	before, until := w.leaseBound, c.bounds.clock.Until(instant)+c.nextLifeExtension(w)
 	w.leaseBound = min(before, max(now, until))
 	c.inheritSilentSince(w, until-c.nextLifeExtension(w)-withDriftMargin(c.timing.Lease))
 	if w.runs.size() == 0 {
@@ -220,7 +220,7 @@
 	size := 0
 	for _, w := range c.sortedWorkers() {
 		id := w.info.ID
-		shown, stored := c.bounds.stored[id]
+		instant, stored := c.bounds.stored[id]
 		isNew := !stored && w.needsBound(now) && !c.bounds.tableSlow
 		if w.runs.size() == 0 || !isNew && !(stored && w.isUnresponsive()) {
 			continue
@@ -229,8 +229,8 @@
 		if len(out) >= maxBounds || size > maxBoundsBytes {
 			return out
 		}
-		if stored && c.bounds.clock.Until(shown) >= w.leaseBound {
-			out[id] = shown
+		if stored && c.bounds.clock.Until(instant) >= w.leaseBound {
+			out[id] = instant
 			continue
 		}
 		out[id] = c.bounds.clock.Latest(w.leaseBound)
@@ -242,9 +242,9 @@
 func (c *Cell) boundsChanged(now cottonlanding.Millis) (map[cottonlanding.WorkerID]cottonlanding.TableInstant, bool) {
 	required := c.requiredBounds(now)
 	hasRow := c.bounds.clock != nil || len(c.bounds.stored) > 0
-	isAnothers := hasRow && c.bounds.epoch != c.setup.Epoch
+	writtenByOther := hasRow && c.bounds.epoch != c.setup.Epoch
 	return required, c.downRecordChanged(now) || c.bounds.unreadable || len(c.bounds.unusable) > 0 ||
-		isAnothers || !maps.Equal(required, c.bounds.stored)
+		writtenByOther || !maps.Equal(required, c.bounds.stored)
 }
 
 // planBounds adds the lease bounds to a plan if they have changed.
--- a/internal/workflow/planner/simulatedcell_test.go
+++ b/internal/workflow/planner/simulatedcell_test.go
@@ -279,7 +279,7 @@
 
 // pollWorker sends a poll, or takes the answer to the one in flight once the worker gives it.
 func (p *simulatedCell) pollWorker(id cottonlanding.WorkerID) {
-	look, underWay := p.polls[id]
+	poll, underWay := p.polls[id]
 	if !underWay {
 		next, found := p.cell.NextPoll(id, p.now)
 		if !found {
@@ -291,43 +291,43 @@
 		if next.Look.Wait == 0 {
 			p.cell.PollSent(id, p.now)
 		}
-		look = sentPoll{next: next, sentAt: p.now, until: p.now + next.Look.Wait}
-		_, look.failure = p.runner.Look(context.Background(), next.Worker, next.Look)
-		p.polls[id] = look
+		poll = sentPoll{next: next, sentAt: p.now, until: p.now + next.Look.Wait}
+		_, poll.failure = p.runner.Look(context.Background(), next.Worker, next.Look)
+		p.polls[id] = poll
 	}
-	p.answerPoll(id, look)
+	p.answerPoll(id, poll)
 }
 
 // answerPoll has the worker answer a poll if a run has ended there, or the wait of the poll is over.
-func (p *simulatedCell) answerPoll(id cottonlanding.WorkerID, look sentPoll) {
-	if look.failure == nil {
-		asks := cottonlanding.Look{Epoch: look.next.Look.Epoch}
+func (p *simulatedCell) answerPoll(id cottonlanding.WorkerID, poll sentPoll) {
+	if poll.failure == nil {
+		asks := cottonlanding.Look{Epoch: poll.next.Look.Epoch}
 		var report cottonlanding.RunReport
-		if report, look.failure = p.runner.Look(context.Background(), look.next.Worker, asks); look.failure == nil {
-			if len(report.Ended) == 0 && p.now < look.until {
+		if report, poll.failure = p.runner.Look(context.Background(), poll.next.Worker, asks); poll.failure == nil {
+			if len(report.Ended) == 0 && p.now < poll.until {
 				return
 			}
 			if p.now >= p.answersLostUntil[id] || p.random.Intn(2) == 0 {
 				delete(p.polls, id)
-				p.cell.PollAnswered(look.next, report, look.sentAt, p.now)
+				p.cell.PollAnswered(poll.next, report, poll.sentAt, p.now)
 				return
 			}
-			look.failure, p.lastFaultAt = cottonlanding.ErrAmbiguous, p.now
+			poll.failure, p.lastFaultAt = cottonlanding.ErrAmbiguous, p.now
 		}
 	}
-	p.polls[id] = look
-	if errors.Is(look.failure, cottonlanding.ErrAmbiguous) && p.now < look.until+callTimeout {
+	p.polls[id] = poll
+	if errors.Is(poll.failure, cottonlanding.ErrAmbiguous) && p.now < poll.until+callTimeout {
 		return
 	}
 	delete(p.polls, id)
-	p.cell.PollFailed(look.next, look.failure, p.now)
+	p.cell.PollFailed(poll.next, poll.failure, p.now)
 }
 
 // breakConnections ends the calls to a worker whose process has ended at once, without an answer.
 func (p *simulatedCell) breakConnections(id cottonlanding.WorkerID) {
-	if look, underWay := p.polls[id]; underWay {
-		look.until, look.failure = p.now-callTimeout, cmp.Or(look.failure, error(cottonlanding.ErrAmbiguous))
-		p.polls[id] = look
+	if poll, underWay := p.polls[id]; underWay {
+		poll.until, poll.failure = p.now-callTimeout, cmp.Or(poll.failure, error(cottonlanding.ErrAmbiguous))
+		p.polls[id] = poll
 	}
 }
 
