--- a/internal/workflow/planner/downtime.go
+++ b/internal/workflow/planner/downtime.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// recordReturned records that the cell to which a task was delegated no longer has a run of it.
+// recordReturned begins the downtime of a task that the cell to which it was delegated has returned, from when it waits.
 func (c *Cell) recordReturned(t *task, from cottonlanding.CellNumber, now cottonlanding.Millis) {
 	if t.downtime == nil {
 		c.beginDowntime(t, t.waitingSince, now)
