--- a/internal/workflow/planner/simulatedcell_test.go
+++ b/internal/workflow/planner/simulatedcell_test.go
@@ -155,18 +155,18 @@
 
 func (p *simulatedCell) applyEvacuations() {
 	ordered := make(map[cottonlanding.DataCentre]cottonlanding.Evacuation, len(p.evacuated))
-	for place, order := range p.evacuated {
-		ordered[place] = order
+	for dataCentre, order := range p.evacuated {
+		ordered[dataCentre] = order
 	}
 	p.cell.SetEvacuations(cottonlanding.Evacuations{ReadAt: p.now, Ordered: ordered}, p.now)
 }
 
-func (p *simulatedCell) evacuate(place cottonlanding.DataCentre, evacuated bool) {
+func (p *simulatedCell) evacuate(dataCentre cottonlanding.DataCentre, evacuated bool) {
 	if evacuated {
 		p.evacuations++
-		p.evacuated[place] = cottonlanding.Evacuation{DataCentre: place, Version: cottonlanding.Version(p.evacuations), KnownAt: p.now}
+		p.evacuated[dataCentre] = cottonlanding.Evacuation{DataCentre: dataCentre, Version: cottonlanding.Version(p.evacuations), KnownAt: p.now}
 	} else {
-		delete(p.evacuated, place)
+		delete(p.evacuated, dataCentre)
 	}
 	p.lastFaultAt = p.now
 	if p.owned() {
