--- a/internal/workflow/planner/checkpoint_test.go
+++ b/internal/workflow/planner/checkpoint_test.go
@@ -44,7 +44,8 @@
 }
 
 // TestOnlyCheckpointingStepsResume guards against starts that pass a checkpoint to a task whose step has none.
-// Lists may hold a text for each run, and rows may as well, but only tasks with checkpoints make them.
+// Workers may list a text for each run, and rows may hold one, which was kept and passed to the next start all the
+// same.
 func TestOnlyCheckpointingStepsResume(t *testing.T) {
 	t.Run("listed", func(t *testing.T) {
 		w := checkpointWorld(t)
--- a/internal/workflow/planner/downtime.go
+++ b/internal/workflow/planner/downtime.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// recordReturned begins the downtime of a task that the cell to which it was delegated has returned, from when it waits.
+// recordReturned begins the downtime of a task that the cell to which it was delegated has returned. It counts from
+// when the task waits.
 func (c *Cell) recordReturned(t *task, from cottonlanding.CellNumber, now cottonlanding.Millis) {
 	if t.downtime == nil {
 		c.beginDowntime(t, t.waitingSince, now)
--- a/internal/workflow/planner/logbatch.go
+++ b/internal/workflow/planner/logbatch.go
@@ -49,7 +49,8 @@
 	}
 	c.logs.forStep(r.step).Info("stopped run ended", "Task", r.Task.String(), "Run", r.Number,
 		"Worker", r.worker.info.ID, "End", end.Kind, "Serial", end.Serial, "Reason", r.stopReason,
-		"After", now-r.placedAt, "MarkedBefore", now-r.stopRequestedAt, "SentBefore", r.stopSentBefore(now), "Tries", r.stopTries)
+		"After", now-r.placedAt, "MarkedBefore", now-r.stopRequestedAt,
+		"SentBefore", r.stopSentBefore(now), "Tries", r.stopTries)
 }
 
 // stopSentBefore returns how long ago the first stop was sent, -1 if no answer to it has been recorded yet.
