--- a/internal/workflow/planner/blame.go
+++ b/internal/workflow/planner/blame.go
@@ -72,25 +72,25 @@
 		Young:      w.age(at) < stableAge,
 		OuterCause: !c.policy.Blame.Blames(crash),
 	}
-	var convicted []*task
-	var verdicts []string
+	var faultyTasks []*task
+	var summaries []string
 	for _, r := range lost {
 		if !r.canCountLoss() {
 			continue
 		}
 		loss := lossOf(end, w, r, slices.Contains(suspects, r))
 		finding := c.assessLoss(r, loss)
-		verdicts = append(verdicts, fmt.Sprintf("%s#%d seen for %d %s losses %d crashes %d", r.Task, r.Number, r.observedFor(),
+		summaries = append(summaries, fmt.Sprintf("%s#%d seen for %d %s losses %d crashes %d", r.Task, r.Number, r.observedFor(),
 			finding, r.task.crashes.Losses, r.task.crashes.Crashes))
 		suspect := cottonlanding.SuspectView{Record: r.task.crashes, Finding: finding, Alone: len(suspects) == 1, Prompt: r.beganJustBefore(at), Crash: crash}
 		if finding > cottonlanding.NoProof && c.shouldGiveUp(suspect) {
-			convicted = append(convicted, r.task)
+			faultyTasks = append(faultyTasks, r.task)
 		}
 	}
 	c.log.Warn("crash weighed", "Worker", w.info.ID, "Born", w.life().Born, "Why", why, "LastAnswer", now-w.lastAnswerAt, "Ended", end.LifeEnded, "Met", end.Met,
-		"EndsAnyway", end.EndsAnyway, "Age", w.age(at), "OuterCause", end.OuterCause, "Suspects", len(suspects), "Tasks", verdicts, "SilentFor", now-at,
+		"EndsAnyway", end.EndsAnyway, "Age", w.age(at), "OuterCause", end.OuterCause, "Suspects", len(suspects), "Tasks", summaries, "SilentFor", now-at,
 		"Unprovoked", crash.Unprovoked, "Rack", crash.Rack, "RackSilent", crash.RackSilent, "Workers", crash.Workers, "Silent", crash.Silent)
-	return convicted
+	return faultyTasks
 }
 
 // lossOf returns what is known of the loss of one of a worker's runs, from what is known of the end.
@@ -172,8 +172,8 @@
 }
 
 // failFaultyWorkflows fails the workflows of tasks that crash their workers.
-func (c *Cell) failFaultyWorkflows(convicted []*task, now cottonlanding.Millis) {
-	for _, t := range convicted {
+func (c *Cell) failFaultyWorkflows(faultyTasks []*task, now cottonlanding.Millis) {
+	for _, t := range faultyTasks {
 		if t.job.state.Final() {
 			continue
 		}
--- a/internal/workflow/planner/blame_test.go
+++ b/internal/workflow/planner/blame_test.go
@@ -229,8 +229,8 @@
 // cost returns how many workers crashed under each culprit that was started, and how many
 // culprits crashed just two.
 func (h *history) cost() (crashed, faultyTasks, atTwo int) {
-	for culprit := range h.faultyTasks {
-		under := h.runner.CrashesUnder(culprit)
+	for task := range h.faultyTasks {
+		under := h.runner.CrashesUnder(task)
 		if under == 0 {
 			continue
 		}
@@ -263,7 +263,7 @@
 //	go test ./internal/workflow/planner -run TestBlameIsFair -args -blame.histories 1000
 func TestBlameAmongRandomFaults(t *testing.T) {
 	t.Parallel()
-	crashed, culprits, atTwo := 0, 0, 0
+	crashed, faultyTasks, atTwo := 0, 0, 0
 	for at := range *blameHistories {
 		seed := *blameFirst + int64(at)
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -277,10 +277,10 @@
 			require.Empty(t, h.wronglyGivenUp(), "innocent workflows are given up")
 			h.requireFinal(t)
 			a, b, c := h.cost()
-			crashed, culprits, atTwo = crashed+a, culprits+b, atTwo+c
+			crashed, faultyTasks, atTwo = crashed+a, faultyTasks+b, atTwo+c
 		})
 	}
-	t.Logf("%d culprits crashed %.2f workers each, %d of them two at most", culprits, float64(crashed)/float64(culprits), atTwo)
+	t.Logf("%d culprits crashed %.2f workers each, %d of them two at most", faultyTasks, float64(crashed)/float64(faultyTasks), atTwo)
 }
 
 // TestCrashesPerFaultyTask prints, for each policy, what culprits cost where nothing else
@@ -288,20 +288,20 @@
 func TestCrashesPerFaultyTask(t *testing.T) {
 	t.Parallel()
 	for _, policy := range []string{"count", "apart", "fair"} {
-		crashed, culprits, atTwo, innocent := 0, 0, 0, 0
+		crashed, faultyTasks, atTwo, innocent := 0, 0, 0, 0
 		for seed := range *blameHistories / 2 {
 			h := newHistory(t, int64(seed), policy, 0)
 			h.run()
 			require.Empty(t, h.runner.Violations())
 			a, b, c := h.cost()
-			crashed, culprits, atTwo = crashed+a, culprits+b, atTwo+c
+			crashed, faultyTasks, atTwo = crashed+a, faultyTasks+b, atTwo+c
 			innocent += len(h.wronglyGivenUp())
 		}
-		t.Logf("%s: %d culprits, %.2f crashes each, %d at two, %d innocent workflows given up", policy, culprits,
-			float64(crashed)/float64(culprits), atTwo, innocent)
+		t.Logf("%s: %d culprits, %.2f crashes each, %d at two, %d innocent workflows given up", policy, faultyTasks,
+			float64(crashed)/float64(faultyTasks), atTwo, innocent)
 		if policy == "fair" {
 			require.Zero(t, innocent)
-			require.Greater(t, 2*atTwo, culprits)
+			require.Greater(t, 2*atTwo, faultyTasks)
 		}
 	}
 }
--- a/internal/workflow/planner/blamefaults_test.go
+++ b/internal/workflow/planner/blamefaults_test.go
@@ -28,13 +28,13 @@
 	flapAt map[cottonlanding.WorkerID]cottonlanding.Millis
 }
 
-func newMassFaultHistory(t *testing.T, seed int64, culprits bool) *massFaultHistory {
+func newMassFaultHistory(t *testing.T, seed int64, withFaultyTasks bool) *massFaultHistory {
 	r := &restartHistory{
 		history:      newHistory(t, seed, "fair", faultOdds),
 		restartAt:    make(map[cottonlanding.WorkerID]cottonlanding.Millis),
 		leavingUntil: make(map[cottonlanding.WorkerID]cottonlanding.Millis),
 	}
-	r.faultless = !culprits
+	r.faultless = !withFaultyTasks
 	for at := range r.workers {
 		r.restartWorker(at)
 	}
@@ -138,7 +138,7 @@
 //	go test ./internal/workflow/planner -run TestCulpritsAreBounded -args -blame.histories 1000
 func TestFaultyTasksAreBounded(t *testing.T) {
 	t.Parallel()
-	crashed, culprits, atTwo, innocent, submitted := 0, 0, 0, 0, 0
+	crashed, faultyTasks, atTwo, innocent, submitted := 0, 0, 0, 0, 0
 	for at := range *blameHistories {
 		seed := *blameFirst + int64(at)
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -148,10 +148,10 @@
 			h.requireFinal(t)
 			h.requireMinEnds(t)
 			a, b, c := h.cost()
-			crashed, culprits, atTwo = crashed+a, culprits+b, atTwo+c
+			crashed, faultyTasks, atTwo = crashed+a, faultyTasks+b, atTwo+c
 			innocent, submitted = innocent+len(h.wronglyGivenUp()), submitted+len(h.submitted)
 		})
 	}
 	t.Logf("%d culprits crashed %.2f workers each, %d of them two at most; %d of %d workflows were given up without a culprit",
-		culprits, float64(crashed)/float64(max(1, culprits)), atTwo, innocent, submitted)
+		faultyTasks, float64(crashed)/float64(max(1, faultyTasks)), atTwo, innocent, submitted)
 }
--- a/internal/workflow/planner/blamerefused_test.go
+++ b/internal/workflow/planner/blamerefused_test.go
@@ -21,9 +21,9 @@
 
 // pollOtherLife has another life answer a look that was meant for the one to which a start was given.
 func (w *world) pollOtherLife(start planner.Order) {
-	look, found := w.cell.NextPoll(start.Worker.Life.Worker, w.now)
+	poll, found := w.cell.NextPoll(start.Worker.Life.Worker, w.now)
 	require.True(w.t, found)
-	w.cell.PollFailed(look, cottonlanding.ErrOtherLife, w.now)
+	w.cell.PollFailed(poll, cottonlanding.ErrOtherLife, w.now)
 }
 
 // TestRefusedCopyOfTakenStartCounts: only a start that surely had no effect is no cause. A copy of one that
--- a/internal/workflow/planner/colocation.go
+++ b/internal/workflow/planner/colocation.go
@@ -15,17 +15,17 @@
 	if !c.policy.KeepsInOneDataCentre || t.stage.Lasting || len(candidates) < 2 {
 		return candidates
 	}
-	if near := inDataCentre(candidates, t.job.dataCentre); len(near) > 0 {
-		return near
+	if colocated := inDataCentre(candidates, t.job.dataCentre); len(colocated) > 0 {
+		return colocated
 	}
 	t.job.dataCentre = c.mostFreeDataCentre(candidates, now)
 	return inDataCentre(candidates, t.job.dataCentre)
 }
 
-func inDataCentre(workers []*worker, place cottonlanding.DataCentre) []*worker {
+func inDataCentre(workers []*worker, dataCentre cottonlanding.DataCentre) []*worker {
 	var out []*worker
 	for _, w := range workers {
-		if w.info.DataCentre == place {
+		if w.info.DataCentre == dataCentre {
 			out = append(out, w)
 		}
 	}
--- a/internal/workflow/planner/crash_test.go
+++ b/internal/workflow/planner/crash_test.go
@@ -31,8 +31,8 @@
 
 func newCrashWorld(w *world, faultyTasks ...cottonlanding.TaskRef) *crashWorld {
 	w.faultyTasks, w.crashAfter = make(map[cottonlanding.TaskRef]bool), crashDelay
-	for _, culprit := range faultyTasks {
-		w.faultyTasks[culprit] = true
+	for _, task := range faultyTasks {
+		w.faultyTasks[task] = true
 	}
 	return &crashWorld{world: w, crashedAt: make(map[cottonlanding.WorkerID]cottonlanding.Millis), restarted: make(map[cottonlanding.WorkerID]bool)}
 }
--- a/internal/workflow/planner/datacentresilence.go
+++ b/internal/workflow/planner/datacentresilence.go
@@ -69,18 +69,18 @@
 	if !c.policy.WatchesDataCentres {
 		return
 	}
-	places, lastContactAt := c.dataCentreSilences(now)
-	for place, silence := range places {
-		since, silent := c.silentSince[place]
+	dataCentres, lastContactAt := c.dataCentreSilences(now)
+	for dataCentre, silence := range dataCentres {
+		since, silent := c.silentSince[dataCentre]
 		switch {
 		case silent && silence.lastContactAt > since:
-			delete(c.silentSince, place)
-			c.setDataCentreSilent(place, false)
-			c.log.Info("data centre answers again", "DataCentre", place, "SilentFor", now-since)
+			delete(c.silentSince, dataCentre)
+			c.setDataCentreSilent(dataCentre, false)
+			c.log.Info("data centre answers again", "DataCentre", dataCentre, "SilentFor", now-since)
 		case !silent && silence.isSilent(now) && now-lastContactAt < maxAnswerDelay:
-			c.silentSince[place] = now
-			c.setDataCentreSilent(place, true)
-			c.log.Warn("data centre is silent", "DataCentre", place, "Workers", silence.unanswered, "HeardBefore", now-silence.lastContactAt)
+			c.silentSince[dataCentre] = now
+			c.setDataCentreSilent(dataCentre, true)
+			c.log.Warn("data centre is silent", "DataCentre", dataCentre, "Workers", silence.unanswered, "HeardBefore", now-silence.lastContactAt)
 		}
 	}
 }
@@ -88,26 +88,26 @@
 // dataCentreSilences returns what is known of each data centre, and when any worker last answered:
 // an owner that hears nobody is cut off itself, or late.
 func (c *Cell) dataCentreSilences(now cottonlanding.Millis) (map[cottonlanding.DataCentre]dataCentreSilence, cottonlanding.Millis) {
-	places := make(map[cottonlanding.DataCentre]dataCentreSilence)
+	dataCentres := make(map[cottonlanding.DataCentre]dataCentreSilence)
 	lastContactAt := cottonlanding.Millis(0)
 	for _, w := range c.sortedWorkers() {
-		silence := places[w.info.DataCentre]
+		silence := dataCentres[w.info.DataCentre]
 		if w.unansweredSince > 0 {
 			silence.unanswered++
 			silence.since = min(cmp.Or(silence.since, w.unansweredSince), w.unansweredSince)
 		}
 		silence.lastContactAt = max(silence.lastContactAt, w.lastContactAt)
-		places[w.info.DataCentre] = silence
+		dataCentres[w.info.DataCentre] = silence
 		lastContactAt = max(lastContactAt, w.lastContactAt)
 	}
-	return places, lastContactAt
+	return dataCentres, lastContactAt
 }
 
 // setDataCentreSilent has nothing new started in a data centre, or again. What has not been sent goes
 // elsewhere.
-func (c *Cell) setDataCentreSilent(place cottonlanding.DataCentre, silent bool) {
+func (c *Cell) setDataCentreSilent(dataCentre cottonlanding.DataCentre, silent bool) {
 	for _, w := range c.sortedWorkers() {
-		if w.info.DataCentre == place {
+		if w.info.DataCentre == dataCentre {
 			w.dataCentreSilent = silent
 			w.markChanged()
 		}
--- a/internal/workflow/planner/health.go
+++ b/internal/workflow/planner/health.go
@@ -63,11 +63,11 @@
 		if r.task == nil || r.stopping || r.phase != started || r.pace < fullPace || r.paceGoal < fullPace {
 			continue
 		}
-		patience := stuckTimeout
+		timeout := stuckTimeout
 		if r.step.Fills {
-			patience = stuckFillingTimeout
+			timeout = stuckFillingTimeout
 		}
-		if now-r.progressedAt < patience {
+		if now-r.progressedAt < timeout {
 			continue
 		}
 		c.counts.Stuck++
--- a/internal/workflow/planner/openlife.go
+++ b/internal/workflow/planner/openlife.go
@@ -97,7 +97,7 @@
 		return
 	}
 	delete(c.openLivesByWorker, id)
-	var convicted []*task
+	var faultyTasks []*task
 	for _, t := range lives.tasks {
 		if t.openLife.Worker != id || t.job.state.Final() {
 			continue
@@ -111,8 +111,8 @@
 		t.setOpenLife(cottonlanding.Life{})
 		c.markDirty(t.job)
 		if t.crashes.Losses >= maxLosses {
-			convicted = append(convicted, t)
+			faultyTasks = append(faultyTasks, t)
 		}
 	}
-	c.failFaultyWorkflows(convicted, now)
+	c.failFaultyWorkflows(faultyTasks, now)
 }
--- a/internal/workflow/planner/poll.go
+++ b/internal/workflow/planner/poll.go
@@ -60,8 +60,8 @@
 		next.After = w.nextPollAt - now
 		return next, true
 	}
-	unnoted := w.receivedEnd > w.committedEnd
-	if unnoted && now-w.uncommittedSince < uncommittedEndsTimeout {
+	uncommitted := w.receivedEnd > w.committedEnd
+	if uncommitted && now-w.uncommittedSince < uncommittedEndsTimeout {
 		next.After = w.uncommittedSince + uncommittedEndsTimeout - now
 		return next, true
 	}
@@ -78,7 +78,7 @@
 	if w.runs.size() > 0 {
 		next.Look.LeaseUntil = c.leaseUntil(w, now)
 	}
-	if w.reading > 0 && !unnoted {
+	if w.reading > 0 && !uncommitted {
 		next.Look.Wait = idlePollWait
 		switch {
 		case w.overTarget:
@@ -99,8 +99,8 @@
 }
 
 // PollAnswered takes in the answer to a look that was sent at sentAt.
-func (c *Cell) PollAnswered(look NextPoll, report cottonlanding.RunReport, sentAt, now cottonlanding.Millis) {
-	w := c.workers[look.Worker.Life.Worker]
+func (c *Cell) PollAnswered(poll NextPoll, report cottonlanding.RunReport, sentAt, now cottonlanding.Millis) {
+	w := c.workers[poll.Worker.Life.Worker]
 	if w == nil {
 		return
 	}
@@ -111,7 +111,7 @@
 		c.recordContact(w)
 	}
 	if w == polled {
-		w.acknowledgedEnd = max(w.acknowledgedEnd, look.Look.Seen)
+		w.acknowledgedEnd = max(w.acknowledgedEnd, poll.Look.Seen)
 	}
 	c.resolveOnAnswer(w, now)
 	w.answeredUnlisted = !w.listed
@@ -134,8 +134,8 @@
 }
 
 // PollFailed takes in that a look got no answer.
-func (c *Cell) PollFailed(look NextPoll, cause error, now cottonlanding.Millis) {
-	w := c.workers[look.Worker.Life.Worker]
+func (c *Cell) PollFailed(poll NextPoll, cause error, now cottonlanding.Millis) {
+	w := c.workers[poll.Worker.Life.Worker]
 	if w == nil {
 		return
 	}
@@ -149,7 +149,7 @@
 	if errors.Is(cause, cottonlanding.ErrStaleEpoch) {
 		c.superseded = true
 	}
-	if errors.Is(cause, cottonlanding.ErrOtherLife) && look.Worker == w.ref() {
+	if errors.Is(cause, cottonlanding.ErrOtherLife) && poll.Worker == w.ref() {
 		c.recordLifeEnded(w, now)
 		return
 	}
--- a/internal/workflow/planner/staleentry_test.go
+++ b/internal/workflow/planner/staleentry_test.go
@@ -118,16 +118,16 @@
 func TestEndIsAcknowledgedOnce(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 1))
-	var told []uint64
+	var acknowledged []uint64
 	for range 60 {
 		w.decide(turnSpan)
 		next, _ := w.cell.NextPoll("w1", w.now)
 		if next.Look.Seen > 0 {
-			told = append(told, next.Look.Seen)
+			acknowledged = append(acknowledged, next.Look.Seen)
 		}
 		w.pollAll()
 	}
-	require.Equal(t, []uint64{1}, told)
+	require.Equal(t, []uint64{1}, acknowledged)
 }
 
 // TestClockRegressionInStartAnswer: a worker crashes and is back between two looks, and the next life
--- a/internal/workflow/planner/worker.go
+++ b/internal/workflow/planner/worker.go
@@ -291,7 +291,7 @@
 // loseRuns ends runs that are lost with a life.
 func (c *Cell) loseRuns(w *worker, runs []*run, now cottonlanding.Millis, why loss) {
 	c.logLost(w, runs, now, why)
-	convicted := c.attributeCrash(w, runs, why, now)
+	faultyTasks := c.attributeCrash(w, runs, why, now)
 	for _, r := range runs {
 		c.counts.Lost++
 		c.recordDown(r, string(why), now)
@@ -301,7 +301,7 @@
 		}
 		c.dropRun(r, now)
 	}
-	c.failFaultyWorkflows(convicted, now)
+	c.failFaultyWorkflows(faultyTasks, now)
 }
 
 // HasWorker reports whether the cell wants to hear of a worker.
