--- a/internal/workflow/planner/blame.go
+++ b/internal/workflow/planner/blame.go
@@ -8,27 +8,27 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A worker that crashes lists no ends, so that no run there counts as failed. A task that
-// crashes each worker which starts it would be started without end, and each crash takes
-// some ten innocent runs along. What is kept of a task about that is in its row, with the
-// state that allows its next start: no owner, and no start without an answer, sets it back.
+// A worker that crashes lists no ends, so that none of its runs counts as failed. A task that crashes each worker
+// that starts it would be started without end, and each crash takes some ten innocent runs along. The task's losses
+// are stored in its row together with the state that allows its next start, so that neither a change of owner nor an
+// unanswered start resets them.
 
 const (
-	// maxLosses is how many lives of workers may end that a task may have ended before it is
-	// given up under every policy. Source: the rule that allows two starts after three crashes.
+	// maxLosses is how many ended lives a task may have been lost with before it is given up under every policy: the
+	// requirement allows two starts after three crashes.
 	maxLosses = 5
-	// recentWindow is how long a run must have lasted for the end of its worker to tell nothing of
-	// it, and for its task to be cleared of earlier losses.
+	// recentWindow is how long a run must have lasted for the end of its worker to say nothing about it, and for its
+	// task's earlier losses to be cleared.
 	recentWindow = 10 * cottonlanding.Second
-	// promptWindow is how long before the end of its worker a run may have begun to be a suspect
-	// before all others: ten milliseconds, and what it takes a busy owner to notice. A longer span
-	// has innocent workflows given up beside workers that crash for no cause of ours.
+	// promptWindow is how long before the end of its worker a run may have begun to be a prime suspect: 10 ms for the
+	// crash, the rest for a busy owner to notice it. A longer window gives up innocent workflows when workers crash
+	// for unrelated causes.
 	promptWindow = 300 * cottonlanding.Millis(1)
 )
 
-// suspectsAmong returns those of the runs lost with a life that stand out as the cause of its end at
-// an instant: all that began within promptWindow before it, or else the only one that began within recentWindow.
-// Several runs of the latter kind are no suspects: one of them would be charged with each crash from outside.
+// suspectsAmong returns those of the runs lost with a life that stand out as the cause of its end at an instant: all
+// that began within promptWindow before it, or else the only one that began within recentWindow. Several runs of the
+// latter kind are no suspects, because one of them would be charged with each unrelated crash.
 func suspectsAmong(lost []*run, at cottonlanding.Millis) []*run {
 	prompt := make([]*run, 0, len(lost))
 	for _, r := range lost {
@@ -42,8 +42,8 @@
 	return prompt
 }
 
-// countableLosses returns those of the runs of a worker whose loss counts for their tasks: they began soon
-// before its life ended, or may have begun just before if that life was about to end anyway.
+// countableLosses returns the runs of a worker whose loss counts for their tasks: those that began within
+// recentWindow before its life ended, or, if that end was expected, those that may have begun just before it.
 func countableLosses(w *worker, runs []*run, at cottonlanding.Millis) []*run {
 	var lost []*run
 	for _, r := range runs {
@@ -54,8 +54,7 @@
 	return lost
 }
 
-// attributeCrash notes for each task that a worker ran what the loss of its run tells of it, and
-// returns those that are given up.
+// attributeCrash assesses the loss of each run of a worker for its task and returns the tasks to be given up.
 func (c *Cell) attributeCrash(w *worker, runs []*run, why loss, now cottonlanding.Millis) []*task {
 	at := w.lostContactAt(now)
 	lost := countableLosses(w, runs, at)
@@ -93,7 +92,7 @@
 	return faultyTasks
 }
 
-// lossOf returns what is known of the loss of one of a worker's runs, from what is known of the end.
+// lossOf describes the loss of one run of a worker, given the end of the worker.
 func lossOf(end cottonlanding.RunLoss, w *worker, r *run, standsOut bool) cottonlanding.RunLoss {
 	loss := end
 	loss.LifeEnded = end.LifeEnded || r.isUntraceable()
@@ -105,7 +104,7 @@
 	return loss
 }
 
-// assessLoss charges a run's task with what its loss proves, or leaves that open until the worker is heard.
+// assessLoss counts the loss of a run against its task, or leaves it open until the worker is heard of.
 func (c *Cell) assessLoss(r *run, loss cottonlanding.RunLoss) cottonlanding.Finding {
 	if !loss.LifeEnded && !loss.Outlived {
 		c.recordOpenLife(r.task, r.lifeRef())
@@ -122,14 +121,14 @@
 	return suspect.Record.Losses >= maxLosses || c.policy.Blame.Convicts(suspect)
 }
 
-// isUntraceable reports whether nothing can tell what became of the run's life: its entry is gone, and it has no
-// birth, or this owner has never read its address. Such a life is taken for ended.
+// isUntraceable reports whether the outcome of the run's life can't become known: its entry is gone, and its birth is
+// unknown or this owner never read its address. Such a life is taken for ended.
 func (r *run) isUntraceable() bool {
 	return !r.worker.listed && (r.born == 0 || r.worker.info.Address == "")
 }
 
-// canCountLoss reports whether the loss of the run counts for its task: it isn't done, nor its
-// workflow over, and the run has not been lost with an earlier life already.
+// canCountLoss reports whether the loss of the run counts for its task: the task isn't done, its workflow isn't
+// final, and the run wasn't already counted as lost with an earlier life.
 func (r *run) canCountLoss() bool {
 	t := r.task
 	return t != nil && t.run == r && !r.lossCounted && t.state != taskDone && !t.job.state.Final()
@@ -145,9 +144,9 @@
 	c.markDirty(r.task.job)
 }
 
-// retractLoss takes back the loss of a run whose only start is known by now to have had no effect: the
-// worker's life was over before it could take it. Looks and orders go over connections of their
-// own, so that the run may have been given up before.
+// retractLoss retracts the counted loss of a run whose only start turns out to have had no effect, because the
+// worker's life was over before the start arrived. Polls and orders use separate connections, so that the run may
+// have been given up before this answer.
 func (c *Cell) retractLoss(order Order, err error) {
 	r := order.run
 	if order.Verb != VerbStart || r == nil || !r.lossCounted || r.startUnconfirmed || r.ackedAt > 0 || !hadNoEffect(err) {
@@ -166,7 +165,7 @@
 	c.log.Info("loss taken back", "Task", t.ref.String(), "Worker", r.worker.info.ID, "Losses", t.crashes.Losses, "Crashes", t.crashes.Crashes)
 }
 
-// hadNoEffect reports whether the answer to a start says that it has begun nothing, then or before.
+// hadNoEffect reports whether the answer to a start says that neither it nor an earlier copy began the run.
 func hadNoEffect(err error) bool {
 	return err != nil && !errors.Is(err, cottonlanding.ErrAmbiguous) && !errors.Is(err, cottonlanding.ErrConflict)
 }
@@ -185,7 +184,7 @@
 	}
 }
 
-// clear forgets what is kept against a task whose run has lasted long.
+// clear resets the losses of a task whose run has lasted for recentWindow.
 func (c *Cell) clear(r *run, now cottonlanding.Millis) {
 	t := r.task
 	if t == nil || t.run != r || !t.suspected() {
@@ -199,7 +198,7 @@
 	c.markDirty(t.job)
 }
 
-// clearLosses forgets what is kept against the task.
+// clearLosses resets the counted losses and the open life of the task.
 func (t *task) clearLosses() {
 	t.crashes = cottonlanding.CrashRecord{}
 	t.setOpenLife(cottonlanding.Life{})
--- a/internal/workflow/planner/colocation.go
+++ b/internal/workflow/planner/colocation.go
@@ -4,13 +4,13 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A data centre that is cut off holds up each workflow that has a task there. Dealt over all data
-// centres, nearly every workflow has one; kept together, one of as many as there are data
-// centres is hit, and the others go on. Lasting tasks stay dealt out: of those each counts for
-// itself, and their workflow must not lose all at once.
+// A data centre that is cut off delays each workflow that has a task there. Spread over all data centres, nearly
+// every workflow would have one; with each workflow kept in one data centre, a cut delays only the workflows of that
+// data centre. Lasting tasks stay spread, because each of them counts for itself and their workflow must not lose all
+// of them at once.
 
-// preferWorkflowDataCentre returns the candidates in the data centre of the task's workflow, or in another one
-// that becomes it if there are none.
+// preferWorkflowDataCentre returns the candidates in the data centre of the task's workflow. If there are none, it
+// chooses another data centre for the workflow.
 func (c *Cell) preferWorkflowDataCentre(t *task, candidates []*worker, now cottonlanding.Millis) []*worker {
 	if !c.policy.KeepsInOneDataCentre || t.stage.Lasting || len(candidates) < 2 {
 		return candidates
--- a/internal/workflow/planner/datacentresilence.go
+++ b/internal/workflow/planner/datacentresilence.go
@@ -8,52 +8,51 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A data centre that is cut off takes all its workers along at once. Each by itself shows that
-// only when a look at it has got no answer, one to three seconds later, and what is started
-// there until then waits for as long as the cut lasts. Orders show it sooner, if several
-// workers of one data centre leave them unanswered and none of the others answers either.
+// When a data centre is cut off, all its workers become unreachable at once. A failed poll shows that for each worker
+// only one to three seconds later, and what is started there until then waits as long as the cut lasts. Unanswered
+// orders show it sooner: a data centre counts as silent if several of its workers leave orders unanswered and none of
+// the others answers either.
 
 const (
-	// maxAnswerDelay is longer than a worker in touch takes to answer an order, some 10 ms, and
-	// than all of them are silent as a rule: of twenty, looks bring an answer each 100 ms.
+	// maxAnswerDelay is longer than a reachable worker takes to answer an order (some 10 ms) and than the usual gap
+	// between answers of a data centre: of twenty workers, one answers a poll each 100 ms.
 	maxAnswerDelay = 250 * cottonlanding.Millis(1)
-	// minSilentWorkers is how many workers must have orders to answer: fewer may have ended.
+	// minSilentWorkers is how many workers must have unanswered orders; fewer may have crashed.
 	minSilentWorkers = 3
 )
 
-// dataCentreSilence is what is known of one data centre.
+// dataCentreSilence summarizes the answers of one data centre.
 type dataCentreSilence struct {
-	// unanswered counts the workers that have an order to answer; the first of them was given
-	// it at since.
+	// unanswered counts the workers with an unanswered order; since is when the first of them was given it.
 	unanswered int
 	since      cottonlanding.Millis
 	// lastContactAt is when any of its workers last answered.
 	lastContactAt cottonlanding.Millis
 }
 
-// isSilent reports whether several workers have orders to answer and none of the data centre's has
-// answered anything for a while.
+// isSilent reports whether several workers have unanswered orders and no worker of the data centre has answered
+// anything for maxAnswerDelay.
 func (s dataCentreSilence) isSilent(now cottonlanding.Millis) bool {
 	return s.unanswered >= minSilentWorkers && now-s.since >= maxAnswerDelay && now-s.lastContactAt >= maxAnswerDelay
 }
 
-// recordGiven notes that an order was given out to the worker.
+// recordGiven records that an order was given out to the worker.
 func (w *worker) recordGiven(now cottonlanding.Millis) {
 	if w.unansweredSince == 0 {
 		w.unansweredSince = now
 	}
 }
 
-// recordContact notes that the worker has answered something.
+// recordContact records that the worker answered a poll or an order.
 func (w *worker) recordContact(now cottonlanding.Millis) {
 	w.lastContactAt, w.unansweredSince = now, 0
 }
 
-// answerErrors are the errors by which a worker itself answerErrors an order.
+// answerErrors are the errors that come from the worker itself, so that they show that it is reachable.
 var answerErrors = []error{cottonlanding.ErrConflict, cottonlanding.ErrBusy, cottonlanding.ErrOtherLife, cottonlanding.ErrStaleEpoch}
 
-// recordOrderOutcome notes what became of an order: it was answered, it got no answer, or it wasn't
-// sent, which says nothing of the worker.
+// recordOrderOutcome records whether an order was answered, got no answer, or wasn't sent. The last says nothing
+// about the worker.
 func (w *worker) recordOrderOutcome(err error, now cottonlanding.Millis) {
 	isErr := func(answer error) bool { return errors.Is(err, answer) }
 	switch {
@@ -64,7 +63,7 @@
 	}
 }
 
-// updateSilentDataCentres works out which data centres are silent.
+// updateSilentDataCentres determines which data centres are silent.
 func (c *Cell) updateSilentDataCentres(now cottonlanding.Millis) {
 	if !c.policy.WatchesDataCentres {
 		return
@@ -85,8 +84,8 @@
 	}
 }
 
-// dataCentreSilences returns what is known of each data centre, and when any worker last answered:
-// an owner that hears nobody is cut off itself, or late.
+// dataCentreSilences returns the state of each data centre, and when any worker last answered: an owner that hears
+// from no worker is cut off or delayed itself.
 func (c *Cell) dataCentreSilences(now cottonlanding.Millis) (map[cottonlanding.DataCentre]dataCentreSilence, cottonlanding.Millis) {
 	dataCentres := make(map[cottonlanding.DataCentre]dataCentreSilence)
 	lastContactAt := cottonlanding.Millis(0)
@@ -103,8 +102,7 @@
 	return dataCentres, lastContactAt
 }
 
-// setDataCentreSilent has nothing new started in a data centre, or again. What has not been sent goes
-// elsewhere.
+// setDataCentreSilent blocks or unblocks new starts in a data centre. Starts that were not sent are placed elsewhere.
 func (c *Cell) setDataCentreSilent(dataCentre cottonlanding.DataCentre, silent bool) {
 	for _, w := range c.sortedWorkers() {
 		if w.info.DataCentre == dataCentre {
--- a/internal/workflow/planner/health.go
+++ b/internal/workflow/planner/health.go
@@ -3,25 +3,25 @@
 import "github.com/cottonlanding/cottonlanding"
 
 const (
-	// failureBackoff is how long a worker gets nothing new after a failed run:
-	// long enough for other runs there to show whether the fault is the worker's.
+	// failureBackoff is how long a worker gets nothing new after a failed run, long enough for other runs there to
+	// show whether the worker is at fault.
 	failureBackoff = 1500 * cottonlanding.Millis(1)
 	// maxFailureBackoff bounds the doubling with each further failure.
 	maxFailureBackoff = 6 * cottonlanding.Second
-	// stuckTimeout is how long a run may stand still before it is tried elsewhere.
+	// stuckTimeout is how long a run may go without progress before it is moved to another worker.
 	stuckTimeout = 1600 * cottonlanding.Millis(1)
-	// stuckFillingTimeout is the same for a run that only gets what others leave.
+	// stuckFillingTimeout is stuckTimeout for a filling run, which only gets what other runs leave.
 	stuckFillingTimeout = 4 * cottonlanding.Second
-	// slowWeight is the weight of the newest run in a worker's mean slowness.
+	// slowWeight is the weight of the newest run in a worker's mean run time ratio.
 	slowWeight = 0.4
-	// slowRatio is the run time, over the estimate, from which a worker counts as
-	// slow. Estimates are off by a fifth or so.
+	// slowRatio is the mean ratio of run time to estimate above which a worker counts as slow. Estimates are off by
+	// about a fifth.
 	slowRatio = 2.5
 	// slowBackoff is how long a slow worker gets nothing while others have room.
 	slowBackoff = 3 * cottonlanding.Second
 )
 
-// health is what is known of a worker from its runs.
+// health summarizes the outcomes of a worker's runs.
 type health struct {
 	consecutiveFailures int
 	backoffUntil        cottonlanding.Millis
@@ -29,13 +29,13 @@
 	slowUntil           cottonlanding.Millis
 }
 
-// recordFailure counts a failed run.
+// recordFailure records a failed run.
 func (h *health) recordFailure(now cottonlanding.Millis) {
 	h.backoffUntil = now + min(failureBackoff<<min(h.consecutiveFailures, 4), maxFailureBackoff)
 	h.consecutiveFailures++
 }
 
-// recordSuccess counts a run that was done, and how long it took.
+// recordSuccess records a run that was done, and how long it took.
 func (h *health) recordSuccess(r *run, now cottonlanding.Millis) {
 	h.consecutiveFailures = 0
 	h.backoffUntil = 0
@@ -57,7 +57,7 @@
 	return now < h.backoffUntil || now < h.slowUntil
 }
 
-// stopStuckRuns stops the runs that stand still, so that they are tried elsewhere.
+// stopStuckRuns stops the runs without progress, so that they are started elsewhere.
 func (c *Cell) stopStuckRuns(w *worker, now cottonlanding.Millis) {
 	for _, r := range w.runs.all() {
 		if r.task == nil || r.stopping || r.phase != started || r.pace < fullPace || r.paceGoal < fullPace {
--- a/internal/workflow/planner/isolation.go
+++ b/internal/workflow/planner/isolation.go
@@ -6,45 +6,45 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A suspect runs where nothing else begins just before or after it: if the worker crashes
-// again, it was that task, and if it doesn't, it wasn't.
+// A suspected task starts on a worker where nothing else begins just before or after it, so that a further crash
+// shows whether it was the cause.
 
 const (
-	// isolationWindow is how long nothing else begins on a worker before and after a task that runs
-	// apart: the commit and the order, by estimate 300 ms, and just.
+	// isolationWindow is how long nothing else begins on a worker before and after an isolated start: some 300 ms for
+	// the commit and the order, and promptWindow.
 	isolationWindow = 600 * cottonlanding.Millis(1)
-	// longIsolationWindow is how long nothing else begins after a task that has few losses left: a
-	// culprit that began later would take it along, and most tasks are done by then.
+	// longIsolationWindow is isolationWindow after the start of a task that has few losses left. A faulty task that
+	// begins later would take it along, and most tasks are done by then.
 	longIsolationWindow = 3 * cottonlanding.Second
-	// isolationTimeout is how long a task waits for such a worker. The rule asks for a start
-	// within three seconds; later it runs as others do.
+	// isolationTimeout is how long a task waits for an isolated start. It is required to start within three seconds;
+	// after the timeout it starts like any other task.
 	isolationTimeout = cottonlanding.Second
-	// fewLossesIsolationTimeout is how long a task that has few losses left waits for a worker on which
-	// nothing has just begun, at an instant at which none has just fallen silent. Nothing ever
-	// begins just after it: an innocent one must not share its last losses with a culprit.
+	// fewLossesIsolationTimeout is how long a task with few losses left waits for a worker on which nothing has just
+	// begun, at an instant at which no worker has just fallen silent. An innocent task must not lose its last chances
+	// to a faulty one, so that nothing ever begins just after it.
 	fewLossesIsolationTimeout = 3 * cottonlanding.Second
-	// lastStartIsolationTimeout is calmPatience for the last start before a task is given up.
+	// lastStartIsolationTimeout is fewLossesIsolationTimeout for the last start before a task is given up.
 	lastStartIsolationTimeout = 15 * cottonlanding.Second
-	// openLifeTimeout is how long a task that has one loss left waits for what became of its last worker: a
-	// crashed one is back by then, one that is cut off may never be.
+	// openLifeTimeout is how long a task with one loss left waits for the outcome of its open life. A crashed worker
+	// is back by then, one that is cut off may never be.
 	openLifeTimeout = 15 * cottonlanding.Second
-	// isolatedWorkersDivisor is the part of the workers, as a divisor, that may be kept for tasks that
-	// run apart: a wave of suspects must not hold up all others.
+	// isolatedWorkersDivisor is the fraction, as a divisor, of the workers that may be reserved for isolated starts,
+	// so that many suspects at once don't block all other tasks.
 	isolatedWorkersDivisor = 4
 )
 
-// needsIsolation reports whether a task has to run where nothing else begins at the same time.
+// needsIsolation reports whether a task has to start where nothing else begins at the same time.
 func (c *Cell) needsIsolation(t *task, now cottonlanding.Millis) bool {
 	return c.policy.Blame.Isolates(t.crashes) && (t.hasFewLossesLeft() || now-t.waitingSince < isolationTimeout)
 }
 
-// hasFewLossesLeft reports whether the task has few losses left before it is given up.
+// hasFewLossesLeft reports whether two further losses, or fewer, have the task given up.
 func (t *task) hasFewLossesLeft() bool { return t.crashes.Losses >= maxLosses-2 }
 
-// hasOneLossLeft reports whether the task is given up if it is lost once more.
+// hasOneLossLeft reports whether the next loss has the task given up.
 func (t *task) hasOneLossLeft() bool { return t.crashes.Losses >= maxLosses-1 }
 
-// maxIsolationWait returns how long the task waits for a calm worker at a calm instant.
+// maxIsolationWait returns how long a task with few losses left waits for an isolated start.
 func (t *task) maxIsolationWait() cottonlanding.Millis {
 	if t.hasOneLossLeft() {
 		return lastStartIsolationTimeout
@@ -52,19 +52,19 @@
 	return fewLossesIsolationTimeout
 }
 
-// awaitsOpenLife reports whether the task must not begin yet: it has one loss left, and what it has lost last may
-// be that.
+// awaitsOpenLife reports whether the task must not start yet: it has one loss left, and its open life may turn out to
+// be that loss.
 func (t *task) awaitsOpenLife(now cottonlanding.Millis) bool {
 	return t.openLife.Worker != "" && t.hasOneLossLeft() && now-t.waitingSince < openLifeTimeout
 }
 
-// hasRecentOutage reports whether workers fell silent just now: what has caused that may go on.
+// hasRecentOutage reports whether workers have just fallen silent: the cause may still be at work.
 func (c *Cell) hasRecentOutage(now cottonlanding.Millis) bool {
 	return slices.ContainsFunc(c.outages, func(o outage) bool { return now-o.at < outageCorrelationWindow })
 }
 
-// blockedByIsolation reports whether a task may not begin on a worker now, because it or the one
-// that has begun there runs apart. It ends in time for a lasting task to run again.
+// blockedByIsolation reports whether isolation keeps a task from a worker now, its own or that of the run that began
+// there last. It never delays a lasting task that must run again.
 func (c *Cell) blockedByIsolation(t *task, w *worker, now cottonlanding.Millis) bool {
 	switch {
 	case t.mustRunAgain(now):
@@ -81,12 +81,12 @@
 	return isolatedWorkersDivisor*len(c.isolatedWorkers) >= len(c.workers)
 }
 
-// isIsolated reports whether the worker is kept for a run that runs apart and hasn't ended.
+// isIsolated reports whether the worker is reserved for an isolated run that hasn't ended.
 func (w *worker) isIsolated(now cottonlanding.Millis) bool {
 	return w.isolatedRun != nil && now < w.isolatedUntil && w.runs.get(w.isolatedRun.RunKey) == w.isolatedRun
 }
 
-// recordAssignment notes that a task was given to a worker, for keptApart.
+// recordAssignment records for blockedByIsolation that a task was assigned to a worker.
 func (c *Cell) recordAssignment(t *task, w *worker, now cottonlanding.Millis) {
 	w.lastAssignedAt = now
 	if c.needsIsolation(t, now) {
--- a/internal/workflow/planner/life.go
+++ b/internal/workflow/planner/life.go
@@ -9,30 +9,28 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A worker that has crashed may be back under its id within milliseconds. What it then lists is
-// numbered from one, its clock begins anew, and it has seen no owner and no stop. So a worker
-// value holds what is known of one life, and the next life gets a value of its own: no number,
-// reading, lease, figure or judgement passes over by being forgotten somewhere.
+// A worker that crashed may be back under its id within milliseconds. It then numbers its ends from one, its clock
+// starts anew, and it has seen no owner and no stop. So a worker value describes one life, and the next life gets a
+// new value: no number, reading, lease, measurement or decision is carried over by omission.
 //
-// Which life a worker is in is decided by its answers to looks. They come one after the other,
-// while entries of the list may be read seconds late; an entry only casts doubt. No order
-// names a birth, so that the next life may take what was meant for the one before.
+// Poll answers decide which life a worker is in, because they come one after the other. List entries may be read
+// seconds late, so that an entry only makes the life unconfirmed. Orders carry no birth, so that the next life may
+// take an order that was meant for the previous one.
 
-// unconfirmedPollWait is how long a worker may hold back its answer to a look that is to show which
-// life it is in. It isn't zero, so that a silent worker takes no place among prompt looks.
+// unconfirmedPollWait is how long a worker may hold back its answer to a poll that is to identify its life. It isn't
+// zero, so that a silent worker doesn't occupy a slot for prompt polls.
 const unconfirmedPollWait = 50 * cottonlanding.Millis(1)
 
-// readingTolerance is by how much a clock must be behind to have gone back. It covers that readings and
-// our own instants are whole milliseconds, so that answers may cross within one: a look that was
-// sent just before another answer came showed a clock 1 ms behind, and a sound life was taken for
-// ended. A life that is back begins its clock anew, far behind but in its first moments.
+// readingTolerance is how far a clock must be behind to count as restarted. Readings and instants are whole
+// milliseconds, so that answers may cross within one: a poll sent just before another answer arrives can show a clock
+// 1 ms behind, and without tolerance a sound life would be taken for ended. The clock of a new life starts at zero and
+// is far behind except in its predecessor's first moments.
 const readingTolerance cottonlanding.Reading = 100
 
-// maxEarlierBirths is how many earlier lives of a worker are known, so that their entries, read late,
-// aren't taken for news.
+// maxEarlierBirths is how many earlier births of a worker are kept to recognize list entries that are read late.
 const maxEarlierBirths = 4
 
-// life names the life of the worker that answers, or that its entry tells of before one has.
+// life identifies the life that answers, or before the first answer the life in the list entry.
 func (w *worker) life() cottonlanding.Life {
 	if w.born != 0 {
 		return cottonlanding.Life{Worker: w.info.ID, Born: w.born}
@@ -44,12 +42,12 @@
 	return cottonlanding.WorkerRef{Life: w.life(), Address: w.info.Address}
 }
 
-// entryIsCurrent reports whether the entry is of the life that answers. Another life may be of
-// another kind and have other room.
+// entryIsCurrent reports whether the list entry describes the life that answers. Another life may offer another
+// service or have other resources.
 func (w *worker) entryIsCurrent() bool { return !w.info.Born.IsOtherThan(w.born) }
 
-// applyEntry takes in a worker's entry. One of an earlier life was read late and tells nothing;
-// one of a life that nobody has heard of says that there may be another one by now.
+// applyEntry applies a worker's list entry. An entry of an earlier life is ignored; one of an unknown life says that
+// the worker may have been restarted.
 func (w *worker) applyEntry(info cottonlanding.WorkerInfo) {
 	if info.Born != 0 && slices.Contains(w.previous, info.Born) {
 		return
@@ -61,9 +59,8 @@
 	w.markChanged()
 }
 
-// clockRegressed reports whether a worker's clock has not gone on as a steady one does since its last
-// answer to a look, if an order was sent later: another life has taken the order, with a lease
-// that is cut to the longest.
+// clockRegressed reports whether the answer to an order that was sent after the last poll answer shows a clock too
+// far behind for the same life. Then another life took the order, with a lease cut to the maximum.
 func (w *worker) clockRegressed(reading cottonlanding.Reading, sentAt cottonlanding.Millis) bool {
 	if reading == 0 || w.reading == 0 || sentAt < w.readAt {
 		return false
@@ -72,8 +69,8 @@
 	return reading+readingTolerance < w.reading+cottonlanding.Reading(passed-passed/driftDivisor)
 }
 
-// isOtherLife reports whether an answer is of another life than those before. Without births a
-// clock that has gone back tells: it is steady within a life.
+// isOtherLife reports whether an answer comes from another life than earlier answers. Without births, a clock that
+// went back shows it: it is monotonic within a life.
 func (w *worker) isOtherLife(report cottonlanding.RunReport, sentAt cottonlanding.Millis) bool {
 	if w.born != 0 && report.Born != 0 {
 		return report.Born != w.born
@@ -81,8 +78,8 @@
 	return w.reading > 0 && sentAt > w.readAt && report.Reading+readingTolerance < w.reading
 }
 
-// identifyLife takes in which life an answer is of, and returns the worker in that life. Whatever
-// belongs to an earlier one is settled when it returns.
+// identifyLife determines which life an answer comes from and returns the worker in that life. Runs of earlier lives
+// are settled when it returns.
 func (c *Cell) identifyLife(w *worker, report cottonlanding.RunReport, sentAt, now cottonlanding.Millis) *worker {
 	switch {
 	case w.isOtherLife(report, sentAt):
@@ -97,19 +94,17 @@
 	return w
 }
 
-// replaceByNextLife puts another life in a worker's place. The runs of the one before go with it, to be
-// settled.
+// replaceByNextLife replaces a worker by its next life. The runs of the previous life are moved to it, to be settled.
 func (c *Cell) replaceByNextLife(previous *worker, born cottonlanding.Birth, now cottonlanding.Millis) *worker {
 	if !previous.pollFailed {
-		c.recordOutage(previous, now) // it was back before a look could fail: others may have crashed with it
+		c.recordOutage(previous, now) // it was back before a poll could fail: others may have crashed with it
 	}
 	w := c.addWorker(previous.info, now)
 	w.born, w.listed, w.predecessor = born, previous.listed, previous
 	w.recordPredecessorEnd(previous, now)
 	w.previous = append(slices.Clone(previous.previous), previous.born)
 	w.previous = w.previous[max(0, len(w.previous)-maxEarlierBirths):]
-	// Leases reckoned by the clock of the life before may have reached this one, which cuts
-	// them to the longest.
+	// Leases computed with the previous life's clock may have reached this one, which cuts them to the maximum.
 	w.leaseBound = max(previous.leaseBound, now+withDriftMargin(c.timing.MaxLease))
 	c.log.Warn("another life of a worker", "Worker", w.info.ID, "Before", previous.born, "Born", born, "Listed", w.info.Born,
 		"LastAnswer", now-previous.lastAnswerAt, "SilentFor", now-previous.lostContactAt(now), "Noted", previous.receivedEnd, "Runs", previous.runs.size())
@@ -121,34 +116,33 @@
 	return w
 }
 
-// lifeRef names the life on which the run was placed.
+// lifeRef identifies the life on which the run was placed.
 func (r *run) lifeRef() cottonlanding.Life {
 	return cottonlanding.Life{Worker: r.worker.info.ID, Born: r.born}
 }
 
-// isOnEarlierLife reports whether a run was placed on an earlier life of its worker, by this owner or
-// by one before.
+// isOnEarlierLife reports whether a run was placed on an earlier life of its worker, by this owner or a previous one.
 func (r *run) isOnEarlierLife() bool {
 	return r.worker.predecessor != nil && r.life == r.worker.predecessor || r.born.IsOtherThan(r.worker.born)
 }
 
-// listsRun reports whether a worker listsRun a run, as going on or as ended.
+// listsRun reports whether a worker lists a run as running or ended.
 func listsRun(report cottonlanding.RunReport, key cottonlanding.RunKey) bool {
 	return slices.ContainsFunc(report.Running, func(p cottonlanding.RunProgress) bool { return p.RunKey == key }) ||
 		slices.ContainsFunc(report.Ended, func(e cottonlanding.RunEnd) bool { return e.RunKey == key })
 }
 
-// moveToCurrentLife makes a run one of the present life of its worker, which has been told nothing of it yet.
+// moveToCurrentLife assigns a run to the current life of its worker, which has not been sent anything about it yet.
 func (r *run) moveToCurrentLife() {
 	r.life, r.born = r.worker, r.worker.born
 	r.lastStopAckAt, r.firstStopAckAt, r.nextStop = 0, 0, 0
-	r.startDeadline = math.MaxInt64 // starts bring leases by the clock of the life before
+	r.startDeadline = math.MaxInt64 // the leases of sent starts refer to the previous life's clock
 	r.worker.markChanged()
 }
 
-// recordStartedByCurrentLife makes a run that the present life lists that life's own: it took a copy of the start that
-// was meant for one before. When the run began there, what it has shown and at which pace tells
-// nothing of this life, nor that its loss with the one before has counted.
+// recordStartedByCurrentLife assigns a run to the current life, which lists it: that life took a copy of the start
+// that was meant for an earlier one. The run's start time, progress and pace on the earlier life, and the counted
+// loss, don't apply to this life.
 func (c *Cell) recordStartedByCurrentLife(r *run) {
 	r.moveToCurrentLife()
 	r.startedByOtherLife = true
@@ -158,7 +152,7 @@
 	r.lossCounted, r.crashCounted, r.outlived = false, false, false
 	r.pace = fullPace
 	if r.step.Fills {
-		r.pace = unknownPace // a late copy of an order of pace may have reached it too
+		r.pace = unknownPace // a late copy of a pace order may have reached it too
 	}
 	if t := r.task; t != nil && t.run == r {
 		t.setLife(r.worker.life())
@@ -166,12 +160,11 @@
 	}
 }
 
-// settleEarlierRuns settles the runs that were placed on an earlier life of a worker, by what the
-// present one lists: those that it has taken are its own; of those of which a start may still
-// reach it, or has since its list was made, the task waits until it has ruled them out; all
-// others have ended with the life.
+// settleEarlierRuns settles the runs that were placed on an earlier life of a worker by what the current life lists.
+// A run that is listed belongs to the current life. A run whose start may still arrive, or has arrived since the list
+// was made, must be ruled out by the worker before its task continues. All others ended with their life.
 func (c *Cell) settleEarlierRuns(w *worker, report cottonlanding.RunReport, sentAt, now cottonlanding.Millis) {
-	// lost holds also those that the present life may have taken since: see loseEarlier.
+	// lost also holds the runs that the current life may have taken since: see loseEarlierRun.
 	var lost, unsent []*run
 	for _, r := range w.runs.snapshot() {
 		switch {
@@ -183,7 +176,7 @@
 		case r.phase < sent:
 			unsent = append(unsent, r)
 		default:
-			// The answer to a start names no birth, and may have overtaken the list.
+			// The answer to a start carries no birth and may have overtaken the list.
 			r.startUnconfirmed = r.startUnconfirmed || r.phase == started && r.ackedAt >= sentAt
 			lost = append(lost, r)
 		}
@@ -198,7 +191,7 @@
 	}
 }
 
-// loseEarlierRun ends a run of an earlier life, or has it ruled out first in the present one.
+// loseEarlierRun ends a run of an earlier life, or stops it in the current life first if its start may still arrive.
 func (c *Cell) loseEarlierRun(r *run, now cottonlanding.Millis) {
 	if !r.startMayArrive() {
 		c.dropRun(r, now)
@@ -209,12 +202,12 @@
 	c.stop(r, "its worker's life has ended, and a start of it may come", now)
 }
 
-// startMayArrive reports whether the worker may have taken a start of this owner, or may yet. Those of owners
-// before are refused once it has answered a look of this one.
+// startMayArrive reports whether the worker may have taken a start of this owner, or still may. Starts of previous
+// owners are refused once the worker has answered a poll of this one.
 func (r *run) startMayArrive() bool { return r.sentAt > 0 && (r.orderInFlight || r.startUnconfirmed) }
 
-// recordAnswerToEarlierLife takes in the answer to an order that was given to an earlier life: which
-// life has taken it is not known.
+// recordAnswerToEarlierLife handles the answer to an order that was given to an earlier life. Which life took the
+// order is unknown.
 func (c *Cell) recordAnswerToEarlierLife(r *run, order Order, err error, now cottonlanding.Millis) {
 	r.recordAnswered(order.Verb)
 	if order.Verb != VerbStart || r.phase == started {
@@ -226,20 +219,20 @@
 	}
 }
 
-// endedLife is a life that has surely ended and whose entry may stand for a while.
+// endedLife is a life that is certain to have ended while its list entry may remain.
 type endedLife struct {
 	born    cottonlanding.Birth
 	address cottonlanding.Address
 }
 
-// matches reports whether an entry is that of the life that has ended. A worker that is back
-// under its id has another birth, or else another address.
+// matches reports whether an entry describes the ended life. A worker that is back under its id has another birth, or
+// else another address.
 func (e endedLife) matches(info cottonlanding.WorkerInfo) bool {
 	return !info.Born.IsOtherThan(e.born) && info.Address == e.address
 }
 
-// recordLifeEnded takes in that another worker answers in place of one: that life never comes back,
-// however long its entry stays.
+// recordLifeEnded handles that another worker answered at a worker's address. The life never comes back, however long
+// its entry remains.
 func (c *Cell) recordLifeEnded(w *worker, now cottonlanding.Millis) {
 	c.loseWorker(w, now, lossByAnswer)
 	c.resolveOpenLives(w.info.ID, assumeEnded, now)
@@ -249,7 +242,7 @@
 	c.forgetWorker(w.info.ID)
 }
 
-// pruneEndedLives forgets the lives that have ended and are no longer listed.
+// pruneEndedLives forgets the ended lives that are no longer listed.
 func (c *Cell) pruneEndedLives(infos []cottonlanding.WorkerInfo) {
 	if len(c.ended) == 0 {
 		return
--- a/internal/workflow/planner/openlife.go
+++ b/internal/workflow/planner/openlife.go
@@ -7,19 +7,19 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A lease that runs out leaves open whether the worker has crashed under the task or goes on behind a cut. What is
-// heard next tells, to whichever owner: an answer of the same life says that it has outlived the task, another life in
-// its place that it has ended. Until then nothing counts.
+// When a lease expires it is unknown whether the worker crashed under the task or is only unreachable. Such a life is
+// open: whichever owner hears of the worker next learns the outcome. An answer of the same life says that the life
+// outlived the task, another life in its place that it ended. Until then the loss isn't counted.
 
-// openLives are the lives of one worker that tasks have left open.
+// openLives holds the open lives of one worker.
 type openLives struct {
 	tasks []*task
-	// address is the worker's, if it is known: another worker there says that the life has ended.
+	// address is the worker's, if known: another worker at that address shows that the life has ended.
 	address cottonlanding.Address
 }
 
-// recordOpenLife notes that a lease has run out under a task that may just have begun there. Of several
-// such lives the last is kept; none is where the row has no room for it.
+// recordOpenLife records that a lease expired under a task that may just have begun there. Of several such lives the
+// last one is kept, and none if the row has no space for it.
 func (c *Cell) recordOpenLife(t *task, life cottonlanding.Life) {
 	bytes := openLifeBytes(life) - openLifeBytes(t.openLife)
 	if t.job.size.bytes()+bytes > maxRoundsBytes {
@@ -31,7 +31,7 @@
 	c.markDirty(t.job)
 }
 
-// watchOpenLife has the task's open life settled by what is heard of its worker.
+// watchOpenLife has the task's open life resolved when its worker is heard of.
 func (c *Cell) watchOpenLife(t *task) {
 	id := t.openLife.Worker
 	lives := c.openLivesByWorker[id]
@@ -45,7 +45,7 @@
 	}
 }
 
-// openLifeBytes returns what an open life takes in a row at most.
+// openLifeBytes returns the maximum size of an open life in a row, in bytes.
 func openLifeBytes(life cottonlanding.Life) int {
 	if life.Worker == "" {
 		return 0
@@ -53,31 +53,31 @@
 	return len(`,null,""`) + encodedBytes(life.String())
 }
 
-// setOpenLife notes which life is open; the zero value is none.
+// setOpenLife sets the task's open life; the zero value is none.
 func (t *task) setOpenLife(life cottonlanding.Life) {
 	t.job.size.open += openLifeBytes(life) - openLifeBytes(t.openLife)
 	t.openLife = life
 }
 
-// dropOpenLives makes room in the job's row for what must be in it.
+// dropOpenLives frees the space of open lives in the job's row for required data.
 func (j *job) dropOpenLives() {
 	if j.size.open > 0 {
 		j.eachTask(func(t *task) { t.setOpenLife(cottonlanding.Life{}) })
 	}
 }
 
-// resolveOnAnswer settles the open lives of a worker that answers.
+// resolveOnAnswer resolves the open lives of a worker that answers.
 func (c *Cell) resolveOnAnswer(w *worker, now cottonlanding.Millis) {
 	c.resolveOpenLives(w.info.ID, func(life cottonlanding.Life) bool { return life.Born.IsOtherThan(w.born) }, now)
 }
 
-// pruneOpenLives settles what nothing can tell any more, and forgets what nobody waits for: a worker that is gone for good
-// is never heard.
+// pruneOpenLives resolves open lives whose outcome can't become known any more and forgets those that no task waits
+// for, because a worker that is gone for good never answers.
 func (c *Cell) pruneOpenLives(now cottonlanding.Millis) {
 	for _, id := range slices.Sorted(maps.Keys(c.openLivesByWorker)) {
 		lives := c.openLivesByWorker[id]
 		if lives.address == "" && c.listRead && c.workers[id] == nil {
-			c.resolveOpenLives(id, assumeEnded, now) // its entry was gone before this owner came
+			c.resolveOpenLives(id, assumeEnded, now) // its entry was removed before this owner took over
 			continue
 		}
 		lives.tasks = slices.DeleteFunc(lives.tasks, func(t *task) bool { return t.openLife.Worker != id || t.job.state.Final() })
@@ -87,10 +87,10 @@
 	}
 }
 
-// assumeEnded is for lives of which nothing is left.
+// assumeEnded is the predicate for lives of which no trace remains.
 func assumeEnded(cottonlanding.Life) bool { return true }
 
-// resolveOpenLives settles the open lives of a worker by which of them have ended.
+// resolveOpenLives resolves the open lives of a worker; ended reports which of them have ended.
 func (c *Cell) resolveOpenLives(id cottonlanding.WorkerID, ended func(cottonlanding.Life) bool, now cottonlanding.Millis) {
 	lives := c.openLivesByWorker[id]
 	if lives == nil {
--- a/internal/workflow/planner/poll.go
+++ b/internal/workflow/planner/poll.go
@@ -7,9 +7,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// leaseUntil returns the end of a lease granted now, on the worker's clock, and
-// notes how long it can last. A worker that does not answer is granted nothing
-// beyond what it has, or its runs could never be given up; nor is one whose bound is written.
+// leaseUntil returns the end of a lease granted now, on the worker's clock, and extends the worker's lease bound. A
+// worker that doesn't answer gets no extension, because its runs could never be given up otherwise, nor does one
+// whose bound is stored.
 func (c *Cell) leaseUntil(w *worker, now cottonlanding.Millis) cottonlanding.Reading {
 	if !w.reachable(now) || c.bounds.has(w.info.ID) {
 		return w.grantedUntil
@@ -20,13 +20,13 @@
 	return w.grantedUntil
 }
 
-// startLeaseDivisor is the part of a lease, as a divisor, that must be used up for a start to extend it: more than a look takes
-// to fail.
+// startLeaseDivisor is the fraction, as a divisor, of a lease that must be used up for a start to extend it: more
+// time than a poll takes to fail.
 const startLeaseDivisor = 3
 
-// startLease is leaseUntil for a start. One that goes to a worker with runs, whose looks renew the lease, extends it only
-// if much of it is used up: otherwise each start to a worker that has just fallen silent would put off when its runs have
-// surely ended.
+// startLease is leaseUntil for a start. If polls already renew the worker's lease, a start extends it only once the
+// fraction 1/startLeaseDivisor of it is used up. Otherwise each start to a worker that has just fallen silent would
+// delay the instant at which its runs are certain to have ended.
 func (c *Cell) startLease(w *worker, now cottonlanding.Millis) cottonlanding.Reading {
 	reading := w.reading + cottonlanding.Reading(now-w.readAt)
 	left := c.timing.Lease - c.timing.Lease/startLeaseDivisor
@@ -36,20 +36,20 @@
 	return c.leaseUntil(w, now)
 }
 
-// listsRuns reports whether the worker's last answer to a look listed runs of this owner.
+// listsRuns reports whether the worker's last poll answer listed runs of this owner.
 func (w *worker) listsRuns() bool {
 	return slices.ContainsFunc(w.runs.all(), func(r *run) bool { return r.listedAt > 0 && r.listedAt == w.lastAnswerAt })
 }
 
-// NextPoll is what to ask a worker next.
+// NextPoll describes the next poll of a worker.
 type NextPoll struct {
 	Worker cottonlanding.WorkerRef
 	Look   cottonlanding.Look
-	// After is how long to wait before asking, or until something has changed.
+	// After is how long to wait before polling, unless something changes earlier.
 	After cottonlanding.Millis
 }
 
-// NextPoll returns the next look at a worker, or false if the worker is gone.
+// NextPoll returns the next poll of a worker, or false if the worker is gone.
 func (c *Cell) NextPoll(id cottonlanding.WorkerID, now cottonlanding.Millis) (NextPoll, bool) {
 	w := c.workers[id]
 	if w == nil {
@@ -67,8 +67,8 @@
 	}
 	next.Look = cottonlanding.Look{Epoch: c.setup.Epoch}
 	if w.lifeUnconfirmed || w.pollFailed {
-		// It only asks: another life would forget its own ends by the numbers of this one, and
-		// reckon a lease by its own clock.
+		// This poll carries neither acknowledged ends nor a lease: another life would forget its own ends by these
+		// numbers, and measure the lease by its own clock.
 		next.Look.Wait = unconfirmedPollWait
 		return next, true
 	}
@@ -90,15 +90,15 @@
 	return next, true
 }
 
-// PollSent takes in that a look at the worker goes out: if its ends aren't committed by
-// then, the next one follows after another pause.
+// PollSent records that a poll is sent. If the ends of the previous answer aren't committed by now, the next poll
+// waits for them up to uncommittedEndsTimeout again.
 func (c *Cell) PollSent(id cottonlanding.WorkerID, now cottonlanding.Millis) {
 	if w := c.workers[id]; w != nil && w.receivedEnd > w.committedEnd {
 		w.uncommittedSince = now
 	}
 }
 
-// PollAnswered takes in the answer to a look that was sent at sentAt.
+// PollAnswered records the answer to a poll that was sent at sentAt.
 func (c *Cell) PollAnswered(poll NextPoll, report cottonlanding.RunReport, sentAt, now cottonlanding.Millis) {
 	w := c.workers[poll.Worker.Life.Worker]
 	if w == nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-// PollFailed takes in that a look got no answer.
+// PollFailed records that a poll got no answer.
 func (c *Cell) PollFailed(poll NextPoll, cause error, now cottonlanding.Millis) {
 	w := c.workers[poll.Worker.Life.Worker]
 	if w == nil {
@@ -158,7 +158,7 @@
 	}
 }
 
-// recordRunning compares what the worker runs with what it should.
+// recordRunning compares the runs that the worker lists with those it should have.
 func (c *Cell) recordRunning(w *worker, report cottonlanding.RunReport, sentAt, now cottonlanding.Millis) {
 	listed := make(map[cottonlanding.RunKey]bool, len(report.Running))
 	for _, update := range report.Running {
@@ -189,13 +189,13 @@
 	}
 }
 
-// startsExpired reports whether a worker that doesn't list a run refuses all its starts from now on: those of owners
-// before by their epoch, those of this one since their leases have passed by its clock.
+// startsExpired reports whether a worker that doesn't list a run refuses all its starts from now on: those of
+// previous owners because of their epoch, those of this one because their leases have passed on its clock.
 func (r *run) startsExpired(reading cottonlanding.Reading) bool {
 	return r.phase == sent && reading-readingTolerance > r.startDeadline
 }
 
-// trackUnownedRun keeps the books of a run that no task asks for, until it is stopped.
+// trackUnownedRun keeps a run that belongs to no task until it is stopped.
 func (c *Cell) trackUnownedRun(w *worker, key cottonlanding.RunKey, now cottonlanding.Millis) *run {
 	r := &run{RunKey: key, worker: w, life: w, born: w.born, phase: started, pace: fullPace, paceGoal: fullPace}
 	if j := c.jobs[key.Task.Workflow]; j != nil {
--- a/internal/workflow/planner/worker.go
+++ b/internal/workflow/planner/worker.go
@@ -7,42 +7,41 @@
 )
 
 const (
-	// driftDivisor bounds clock drift: a worker's clock may run 1/50 slow. Source:
-	// the promise that workers give for their lease clocks.
+	// driftDivisor bounds clock drift: workers guarantee that their lease clocks run at most 1/50 slow.
 	driftDivisor = 50
-	// leaseMargin covers timers that go off late on the worker.
+	// leaseMargin covers lease timers that fire late on the worker.
 	leaseMargin = 100 * cottonlanding.Millis(1)
-	// maxAnswerAge is how fresh a worker's last answer must be for it to get a
-	// start: two long looks.
+	// maxAnswerAge is the maximum age of a worker's last poll answer for it to get a start. It exceeds idlePollWait,
+	// so that an idle worker stays reachable between two answers.
 	maxAnswerAge = 3 * cottonlanding.Second
-	// idlePollWait is how long an idle worker may hold back its answer to a look.
+	// idlePollWait is how long an idle worker may hold back its answer to a poll.
 	idlePollWait = 2 * cottonlanding.Second
-	// busyPollWait is the same for a worker that runs something, so that progress and
-	// latencies are seen about once a second.
+	// busyPollWait is idlePollWait for a worker with runs, so that progress and latencies are seen about once a
+	// second.
 	busyPollWait = 800 * cottonlanding.Millis(1)
-	// overTargetPollWait is the same while a serving task needs watching: its figures are
-	// those of half a second.
+	// overTargetPollWait is idlePollWait while the worker's serving tasks are watched closely; their measurements
+	// cover half a second.
 	overTargetPollWait = 400 * cottonlanding.Millis(1)
-	// silenceTimeout is for how long a worker must have given an owner no answer, from the first
-	// look that failed, to count as asked: one answer may come too late or get lost. The
-	// looks of a slow owner then have had time for three tries.
+	// silenceTimeout is how long a worker must have left an owner's polls unanswered, counted from the first one that
+	// failed, to count as polled. A single answer may be late or lost; within this time even a slow owner has polled
+	// three times.
 	silenceTimeout = 3 * cottonlanding.Second
-	// pollRetryInterval is the pause after a look that failed.
+	// pollRetryInterval is the pause after a failed poll.
 	pollRetryInterval = 300 * cottonlanding.Millis(1)
-	// fullPercent is the progress of a lasting task that is at work.
+	// fullPercent is the progress that a lasting task reports while it is at work.
 	fullPercent = 100
-	// uncommittedEndsTimeout bounds how long a look waits for the ends of the last one to be
-	// committed, so that leases are renewed while the table is out.
+	// uncommittedEndsTimeout bounds how long a poll waits for the ends of the previous answer to be committed. Polls
+	// go on after it, so that leases are renewed while the table is unavailable.
 	uncommittedEndsTimeout = cottonlanding.Second
 )
 
-// phase is how far a run has come.
+// phase is the progress of a run's start.
 type phase int
 
 const (
-	// planned runs are not committed yet; nothing was sent.
+	// planned runs are not committed yet; no start was sent.
 	planned phase = iota
-	// committed runs are committed and may be sent.
+	// committed runs may be sent.
 	committed
 	// sent runs may have started.
 	sent
@@ -50,77 +49,76 @@
 	started
 )
 
-// run is one run of a task on a worker. It keeps its room until it surely ended.
+// run is one run of a task on a worker. It reserves its resources until it is certain that it has ended.
 type run struct {
 	cottonlanding.RunKey
-	task   *task // nil for a run that no task owns any more
+	task   *task // nil if no task owns the run any more
 	worker *worker
 	step   cottonlanding.Step
 	phase  phase
-	// life is the life on which this owner placed the run, or took it over; born is its
-	// birth, as the task's row has it.
+	// life is the worker's life on which this owner placed the run or took it over; born is the birth of that life as
+	// in the task's row.
 	life *worker
 	born cottonlanding.Birth
-	// startedByOtherLife says that another life than the one that was meant took the start, so that sentAt tells
-	// nothing of when the run began.
+	// startedByOtherLife says that another life than the intended one took the start, so that sentAt doesn't bound
+	// when the run began.
 	startedByOtherLife bool
-	// outlived says that the worker has listed it for longer than a task needs that crashes the worker.
+	// outlived says that the worker listed the run for longer than a task that crashes the worker on start would
+	// last.
 	outlived bool
-	// lossCounted says that its loss has counted against its task, suspected that it did as a crash.
+	// lossCounted says that the loss of the run was counted against its task, crashCounted that it was counted as a
+	// crash.
 	lossCounted  bool
 	crashCounted bool
 
-	// sentAt is when the last start went out: which of those without an answer began the run is
-	// not known.
+	// sentAt is when the last start was sent. Which of several unanswered starts began the run is unknown.
 	sentAt cottonlanding.Millis
-	// firstSentAt is when the first start of this owner went out.
+	// firstSentAt is when this owner sent the first start.
 	firstSentAt cottonlanding.Millis
-	// startDeadline is when the worker takes none of this owner's starts any more, by its clock.
+	// startDeadline is the reading of the worker's clock after which it refuses all starts of this owner.
 	startDeadline cottonlanding.Reading
-	// lateStarts counts the starts that the worker refused as too late, unansweredStarts those that got no answer.
+	// lateStarts counts the starts that the worker refused as expired, unansweredStarts those without an answer.
 	lateStarts, unansweredStarts int
-	// retriesSincePoll counts the starts that were repeated since the worker last answered a look.
+	// retriesSincePoll counts the starts repeated since the worker last answered a poll.
 	retriesSincePoll int
-	// ackedAt is when the worker said that it started the run, listedAt when it last listed it.
+	// ackedAt is when the worker confirmed the start, listedAt when it last listed the run.
 	ackedAt  cottonlanding.Millis
 	listedAt cottonlanding.Millis
-	// nextTry is when the next order for the run may be sent, ordered says that
-	// one is under way.
+	// nextTry is when the next order for the run may be sent, orderInFlight says that one is unanswered.
 	nextTry       cottonlanding.Millis
 	orderInFlight bool
-	// startUnconfirmed says that a copy of the start may still be on its way.
+	// startUnconfirmed says that a start without an answer may still take effect.
 	startUnconfirmed bool
 
-	// stopping says that the run must end; stopAcked when the worker last took that.
+	// stopping says that the run must end; lastStopAckAt is when the worker last acknowledged a stop.
 	stopping      bool
 	stopReason    string
 	lastStopAckAt cottonlanding.Millis
-	// stopRequestedAt is when the run was marked, stopSentAt when its first stop that was
-	// answered or timed out left this process, stopTries how many were given out.
+	// stopRequestedAt is when stopping was set, stopSentAt when the first stop that was answered or timed out was
+	// sent, stopTries the number of stops given out.
 	stopRequestedAt cottonlanding.Millis
 	stopSentAt      cottonlanding.Millis
 	stopTries       int
-	// nextStop is when the next stop may be sent, stopOrdered says that one is under way.
+	// nextStop is when the next stop may be sent, stopInFlight says that one is unanswered.
 	nextStop     cottonlanding.Millis
 	stopInFlight bool
-	// unwanted is stopping for those who send orders, while the cell is busy.
+	// unwanted mirrors stopping for the senders of orders, which read it while the cell is busy.
 	unwanted atomic.Bool
-	// firstStopAckAt is when the worker first took that: from then on it never starts the
-	// run, however often it is told again.
+	// firstStopAckAt is when the worker first acknowledged a stop. From then on it refuses all starts of the run.
 	firstStopAckAt cottonlanding.Millis
 
 	percent      int
 	tailLatency  cottonlanding.Millis
 	used         cottonlanding.Millicores
 	progressedAt cottonlanding.Millis // when percent last grew
-	pace         int                  // as last taken by the worker
+	pace         int                  // as last acknowledged by the worker
 	paceGoal     int
 	paceSince    cottonlanding.Millis // when the pace became zero
-	// resendPaceAt is when the pace is to be ordered once more, or zero.
+	// resendPaceAt is when the pace is to be sent again, or zero.
 	resendPaceAt cottonlanding.Millis
-	// overTargetSince is when a serving task was first seen over its target, or zero.
+	// overTargetSince is when a serving task was first seen over its latency target, or zero.
 	overTargetSince cottonlanding.Millis
-	// sampledAt is when the last figure of a serving task was taken in.
+	// sampledAt is when the last measurement of a serving task was recorded.
 	sampledAt cottonlanding.Millis
 	placedAt  cottonlanding.Millis
 }
@@ -129,34 +127,34 @@
 type worker struct {
 	info   cottonlanding.WorkerInfo
 	listed bool
-	// evacuated says that the worker's data centre is to be given nothing new.
+	// evacuated says that nothing new may be placed in the worker's data centre.
 	evacuated bool
-	// born is the birth of the life as its answers tell it, before those of earlier lives,
-	// predecessor the life whose runs are not settled yet.
+	// born is the birth of the life as in its poll answers, previous the births of earlier lives, predecessor the
+	// previous life while its runs are unsettled.
 	born        cottonlanding.Birth
 	previous    []cottonlanding.Birth
 	predecessor *worker
-	// lifeUnconfirmed says that since its last answer something showed that the worker may be in another
-	// life, unanswered that an order got no answer, which another life may have taken.
+	// lifeUnconfirmed says that something since the last poll answer indicates that the worker may be in another
+	// life, orderUnanswered that an order got no answer, so that another life may have taken it.
 	lifeUnconfirmed bool
 	orderUnanswered bool
-	// knownSince is when the owner first knew of the worker.
+	// knownSince is when the owner first saw the worker.
 	knownSince cottonlanding.Millis
-	// unprovokedEnds counts the earlier lives that this owner has seen to end with nothing there that had just
-	// begun, the last at endSeenAt.
+	// unprovokedEnds counts the earlier lives that this owner saw end without a run that had just begun there; the
+	// last was seen at lastUnprovokedEndAt.
 	unprovokedEnds      int
 	lastUnprovokedEndAt cottonlanding.Millis
-	// predecessorAnswered says that this owner has seen the life before end, with a run that stood out for each task
-	// of suspectsBefore.
+	// predecessorAnswered says that this owner had poll answers of the previous life, predecessorSuspects holds the
+	// tasks whose runs stood out when it ended.
 	predecessorAnswered bool
 	predecessorSuspects []*task
-	// answeredUnlisted says that the worker answered when its entry had gone: it is leaving.
+	// answeredUnlisted says that the worker answered a poll after its list entry was removed: it is leaving.
 	answeredUnlisted bool
 	runs             runSet
-	// ordersDue says that a run may need an order, now or once a pause has passed.
+	// ordersDue says that a run may need an order, now or after a retry interval.
 	ordersDue bool
 
-	// reading is the worker's clock as of the answer that arrived at readAt.
+	// reading is the worker's clock in the answer that arrived at readAt.
 	reading cottonlanding.Reading
 	readAt  cottonlanding.Millis
 	// grantedUntil is the end of the longest lease of this owner, on the worker's clock.
@@ -164,46 +162,46 @@
 	// leaseBound is the latest instant at which a lease of any owner can end.
 	leaseBound cottonlanding.Millis
 
-	// polled says that a look of this owner got an answer, or that none did for long.
+	// polled says that a poll of this owner was answered, or that its polls failed for silenceTimeout.
 	polled bool
-	// lastAnswerAt is when the last answer to a look came, askedAt when that look was sent, failed says that the
-	// last look got none.
+	// lastAnswerAt is when the last poll answer came, lastAnswerPollSentAt when its poll was sent, pollFailed says
+	// that the last poll got no answer.
 	lastAnswerAt         cottonlanding.Millis
 	lastAnswerPollSentAt cottonlanding.Millis
 	pollFailed           bool
-	// pollFailedSince is when the first of the looks that failed since the last answer did.
+	// pollFailedSince is when the first poll since the last answer failed.
 	pollFailedSince cottonlanding.Millis
 	nextPollAt      cottonlanding.Millis
-	// lastContactAt is when the worker last answered anything, unansweredSince when it was given
-	// the first order since; zero if there is none.
+	// lastContactAt is when the worker last answered a poll or an order, unansweredSince when it was given the first
+	// order since then, or zero.
 	lastContactAt   cottonlanding.Millis
 	unansweredSince cottonlanding.Millis
-	// dataCentreSilent says that its data centre is silent.
+	// dataCentreSilent says that the worker's data centre is silent.
 	dataCentreSilent bool
 
-	// receivedEnd is the last end taken in, seen the last whose consequences are committed, and
-	// forgotten the last of those that the worker surely doesn't list any more.
+	// The worker numbers its ends. receivedEnd is the last one received, committedEnd the last one whose consequences
+	// are committed, and acknowledgedEnd the last one that the worker is certain to have forgotten.
 	receivedEnd     uint64
 	committedEnd    uint64
 	acknowledgedEnd uint64
-	// uncommittedSince is when noted moved ahead of seen.
+	// uncommittedSince is since when receivedEnd has been ahead of committedEnd.
 	uncommittedSince cottonlanding.Millis
 
 	health health
-	// heldFor is the task for which the worker is kept free, until keptUntil at most.
+	// heldFor is the task for which the worker is held free, until heldUntil at the latest.
 	heldFor   *task
 	heldUntil cottonlanding.Millis
 	// fillingSeenAt is when a filling task was last seen here.
 	fillingSeenAt cottonlanding.Millis
-	// overTarget says that a serving task is over its aim.
+	// overTarget says that a serving task exceeds its utilization goal, or that a filling task is on trial beside it.
 	overTarget bool
-	// room is what was left at measuredAt; zero says that it must be measured anew.
+	// room is what was free at roomMeasuredAt; zero has it computed again.
 	room           room
 	roomMeasuredAt cottonlanding.Millis
 	// startsBlockedUntil is when the worker may get a start again after it refused one.
 	startsBlockedUntil cottonlanding.Millis
-	// lastAssignedAt is when the worker was last given a task. apartRun is the last that runs apart,
-	// until apartUntil or its end.
+	// lastAssignedAt is when the worker was last assigned a task. isolatedRun is the last run that began in
+	// isolation, which lasts until isolatedUntil or the run's end.
 	lastAssignedAt cottonlanding.Millis
 	isolatedRun    *run
 	isolatedUntil  cottonlanding.Millis
@@ -220,19 +218,19 @@
 	return w
 }
 
-// withDriftMargin returns how long a span of a worker's clock takes at most.
+// withDriftMargin returns the maximum real duration of a span on a worker's clock.
 func withDriftMargin(span cottonlanding.Millis) cottonlanding.Millis {
 	return span + span/driftDivisor + leaseMargin
 }
 
-// SetWorkers takes in the list of workers. One that is no longer listed gets
-// nothing new and is forgotten once nothing can run on it.
+// SetWorkers replaces the list of workers. A worker that is no longer listed gets nothing new and is forgotten once
+// nothing can run on it.
 func (c *Cell) SetWorkers(infos []cottonlanding.WorkerInfo, now cottonlanding.Millis) {
 	listed := make(map[cottonlanding.WorkerID]bool, len(infos))
 	c.pruneEndedLives(infos)
 	for _, info := range infos {
 		if ended, known := c.ended[info.ID]; known && ended.matches(info) {
-			continue // its entry stays for some seconds
+			continue // the entry of an ended life stays listed for some seconds
 		}
 		listed[info.ID] = true
 		if lives := c.openLivesByWorker[info.ID]; lives != nil {
@@ -244,7 +242,7 @@
 			c.log.Info("worker listed", "Worker", info.ID, "Born", info.Born, "Address", info.Address, "State", info.State)
 		}
 		if w.info.State != info.State {
-			c.log.Info("worker changed", "Worker", info.ID, "From", w.info.State, "To", info.State)
+			c.log.Info("worker state changed", "Worker", info.ID, "From", w.info.State, "To", info.State)
 		}
 		w.applyEntry(info)
 		c.updateEvacuated(w)
@@ -252,7 +250,7 @@
 	c.listRead = c.listRead || len(infos) > 0
 	for _, w := range c.sortedWorkers() {
 		if w.listed && !listed[w.info.ID] {
-			c.log.Info("worker no longer listed", "Worker", w.info.ID, "Runs", w.runs.size())
+			c.log.Info("worker removed from list", "Worker", w.info.ID, "Runs", w.runs.size())
 		}
 		w.listed = listed[w.info.ID]
 		w.answeredUnlisted = w.answeredUnlisted && !w.listed
@@ -271,10 +269,10 @@
 	c.sorted = nil
 }
 
-// loss is why the runs of a worker are given up.
+// loss is the reason why a worker's runs count as lost.
 type loss string
 
-// The reasons, which the log shows.
+// The reasons of losses, which are logged.
 const (
 	lossBySuccessor loss = "another life has its address"
 	lossByAnswer    loss = "another worker answered"
@@ -282,13 +280,13 @@
 	lossByLapse     loss = "its lease surely ran out"
 )
 
-// loseWorker ends all runs of a life that has surely ended, or of a worker that runs nothing
-// any more.
+// loseWorker ends all runs of a life that is certain to have ended, or of a worker whose leases are certain to have
+// expired.
 func (c *Cell) loseWorker(w *worker, now cottonlanding.Millis, why loss) {
 	c.loseRuns(w, w.runs.snapshot(), now, why)
 }
 
-// loseRuns ends runs that are lost with a life.
+// loseRuns ends runs that are lost with a life, and fails the workflows whose tasks are the cause.
 func (c *Cell) loseRuns(w *worker, runs []*run, now cottonlanding.Millis, why loss) {
 	c.logLost(w, runs, now, why)
 	faultyTasks := c.attributeCrash(w, runs, why, now)
@@ -304,22 +302,20 @@
 	c.failFaultyWorkflows(faultyTasks, now)
 }
 
-// HasWorker reports whether the cell wants to hear of a worker.
+// HasWorker reports whether the cell polls the worker.
 func (c *Cell) HasWorker(id cottonlanding.WorkerID) bool { return c.workers[id] != nil }
 
-// addRun puts a run on the worker.
 func (w *worker) addRun(r *run) {
 	w.runs.add(r)
 	w.markChanged()
 }
 
-// removeRun takes a run off the worker.
 func (w *worker) removeRun(key cottonlanding.RunKey) {
 	w.runs.remove(key)
 	w.markChanged()
 }
 
-// markChanged notes that the worker's room or orders must be looked at anew.
+// markChanged has the worker's free resources and due orders computed again.
 func (w *worker) markChanged() {
 	w.roomMeasuredAt = 0
 	w.ordersDue = true
@@ -330,10 +326,10 @@
 	return w.listed && w.entryIsCurrent() && !w.cordoned() && w.reachable(now) && now >= w.startsBlockedUntil
 }
 
-// leaving reports whether the worker is known to end soon.
+// leaving reports whether the worker has announced that it will end.
 func (w *worker) leaving() bool { return w.info.State == cottonlanding.Leaving }
 
-// reachable reports whether the worker answered lately.
+// reachable reports whether the worker's last poll was answered and that answer is recent enough for a start.
 func (w *worker) reachable(now cottonlanding.Millis) bool {
 	return w.reading > 0 && !w.pollFailed && now-w.lastAnswerAt < maxAnswerAge
 }
