--- a/internal/workflow/planner/adoptedrun_test.go
+++ b/internal/workflow/planner/adoptedrun_test.go
@@ -8,13 +8,12 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A run that the next life of its worker lists is that life's own: it took a copy of the start that came
-// late. Yet when it began, when it last moved on and its pace were kept from the life before. The
-// tests have the first copy of a start come late, the second one begin at once, and the first
-// one be taken by the next life.
+// These tests guard against applying what one life showed of a run to the next life that lists it: when it began,
+// when it last progressed and its pace. The first copy of a start is late, the second one begins at once, and the
+// next life takes the first one.
 
-// startTwice plays a task that has begun on the first worker, which falls silent after a span and is back with it
-// two seconds later.
+// startTwice plays a task that has begun on the first worker, which falls silent after a span and is back with it two
+// seconds later.
 func startTwice(w *world, span cottonlanding.Millis) {
 	w.settleStops()
 	w.commit()
@@ -34,6 +33,7 @@
 	require.Equal(w.t, 1, w.runner.Running())
 }
 
+// TestNextLifeRunRestartsProgress: a run that the next life has just begun must not count as stuck.
 func TestNextLifeRunRestartsProgress(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
@@ -41,7 +41,7 @@
 	require.Zero(t, w.cell.Counts().Stuck)
 }
 
-// TestNextLifeRunKeepsLosses: a task is cleared of its losses once it has run for long in one life.
+// TestNextLifeRunKeepsLosses: a task's losses are cleared once it has run for recentWindow within one life.
 func TestNextLifeRunKeepsLosses(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
@@ -53,11 +53,11 @@
 	require.Contains(t, w.cell.Fingerprint(w.now), "{1 1}")
 	startTwice(w, 9*cottonlanding.Second)
 	w.turn(turnSpan)
-	require.Contains(t, w.cell.Fingerprint(w.now), "{1 1}", "what the life before ran for has cleared the task")
+	require.Contains(t, w.cell.Fingerprint(w.now), "{1 1}", "the run time on the previous life must not clear the task")
 }
 
-// TestLossOfNextLifeRunCounts: the next life ends at once, eleven seconds after the first one began the run.
-// It counts as a loss; as a crash it doesn't, since the worker had just ended by itself.
+// TestLossOfNextLifeRunCounts: the next life ends at once, eleven seconds after the previous one began the run. That
+// counts as a loss, but not as a crash, because the worker had just ended on its own.
 func TestLossOfNextLifeRunCounts(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
--- a/internal/workflow/planner/blame_test.go
+++ b/internal/workflow/planner/blame_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	blameHistories = flag.Int("blame.histories", 16, "how many random histories TestBlameIsFairAndKept plays")
-	blameFirst     = flag.Int64("blame.first", 1, "the seed of the first")
+	blameHistories = flag.Int("blame.histories", 16, "number of random histories that each test of blame plays")
+	blameFirst     = flag.Int64("blame.first", 1, "seed of the first history")
 )
 
 const (
@@ -25,33 +25,33 @@
 	historySpan    = 25 * cottonlanding.Second
 	// faultyTaskOdds is one in how many tasks crashes its workers.
 	faultyTaskOdds = 20
-	// maxTasks is the most tasks of a workflow.
+	// maxTasks is the maximum number of tasks of a workflow.
 	maxTasks = 6
-	// faultOdds is one in how many turns brings a trouble: each few seconds, and three times
-	// as often in dense histories. submitOdds is the same for a workflow.
+	// faultOdds is one in how many turns injects a fault, every few seconds; denseFaultOdds is three times as often.
+	// submitOdds is one in how many turns submits a workflow.
 	faultOdds, denseFaultOdds, submitOdds = 90, 30, 5
 )
 
-// policyNamed returns the decisions of a host whose settings name a policy of blame.
+// policyNamed returns the decisions of a host whose settings name a blame policy.
 func policyNamed(t require.TestingT, name string) planner.Policy {
 	set, err := selector.New(selector.Names{"Blame": name})
 	require.NoError(t, err)
 	return set.Planner
 }
 
-// history plays random work with culprits among it, and troubles beside them.
+// history plays random work, some of it faulty tasks, with random faults.
 type history struct {
 	*crashWorld
 	random *rand.Rand
-	// odds is one in how many turns brings a trouble of workers, racks or owners, zero none,
-	// nor any of orders.
+	// odds is one in how many turns injects a fault of workers, racks or owners; zero injects none, nor faults of
+	// orders.
 	odds            int
 	submitted       []cottonlanding.WorkflowID
 	faultyWorkflows map[cottonlanding.WorkflowID]bool
-	// cutOffUntil and idleUntil are when workers are heard again and the owner goes on.
+	// cutOffUntil is when cut-off workers are reachable again, ownerPausedUntil when the owner continues.
 	cutOffUntil      map[cottonlanding.WorkerID]cottonlanding.Millis
 	ownerPausedUntil cottonlanding.Millis
-	// faultless says that no task is a culprit.
+	// faultless says that no task is faulty.
 	faultless bool
 	// restartWorkers brings back the workers that have crashed.
 	restartWorkers func()
@@ -81,7 +81,7 @@
 	return h
 }
 
-// submitNext hands in a workflow of short, lasting or filling tasks, some of them culprits.
+// submitNext submits a workflow of short, lasting or filling tasks, some of them faulty.
 func (h *history) submitNext() {
 	step := cottonlanding.Step{
 		Tasks:     1 + h.random.Intn(maxTasks),
@@ -107,7 +107,7 @@
 	h.submit(id, "Urgent", step)
 }
 
-// injectFault does one thing that has nothing to do with the tasks.
+// injectFault injects one fault that is unrelated to the tasks.
 func (h *history) injectFault() {
 	rack := cottonlanding.Rack(fmt.Sprintf("r1-%d", h.random.Intn(historyRacks)))
 	span := cottonlanding.Millis(500 + h.random.Intn(9000))
@@ -116,14 +116,14 @@
 		troubles++
 	}
 	switch h.random.Intn(troubles) {
-	case 0: // a rack without power
+	case 0: // a rack loses power
 		for _, info := range h.workers {
 			if info.Rack == rack && h.crashedAt[info.ID] == 0 {
 				h.runner.Crash(info.ID)
 				h.crashedAt[info.ID] = h.now
 			}
 		}
-	case 1: // a rack that can't be reached
+	case 1: // a rack becomes unreachable
 		for _, info := range h.workers {
 			if info.Rack == rack {
 				h.cutOff(info.ID, span)
@@ -133,16 +133,16 @@
 		for _, info := range h.workers {
 			h.cutOff(info.ID, span/3)
 		}
-	case 3: // another owner
+	case 3: // the owner changes
 		h.takeOver()
-	case 4: // another owner, after a commit whose answer is lost
+	case 4: // the owner changes after a commit whose answer is lost
 		if h.makePlan(); h.plan != nil {
 			h.apply()
 			h.takeOver()
 		}
 	case 5: // the owner stands still
 		h.ownerPausedUntil = h.now + span/3
-	case 6: // one worker, by itself
+	case 6: // a single worker crashes
 		info := h.workers[h.random.Intn(len(h.workers))]
 		if h.crashedAt[info.ID] == 0 {
 			h.runner.Crash(info.ID)
@@ -156,7 +156,7 @@
 	h.cutOffUntil[id] = max(h.cutOffUntil[id], h.now+span)
 }
 
-// reconnect makes workers heard again whose time has come.
+// reconnect makes cut-off workers reachable again when their time has come.
 func (h *history) reconnect() {
 	for id, until := range h.cutOffUntil {
 		if h.now >= until {
@@ -166,7 +166,7 @@
 	}
 }
 
-// orderFault is what becomes of an order.
+// orderFault returns the outcome of an order.
 func (h *history) orderFault() string {
 	if h.odds == 0 {
 		return ""
@@ -180,7 +180,7 @@
 	return ""
 }
 
-// step lets a turn pass.
+// step plays one turn.
 func (h *history) step() {
 	h.now += turnSpan
 	h.reconnect()
@@ -207,7 +207,7 @@
 		}
 	}
 	h.ownerPausedUntil = 0
-	for _, id := range h.submitted { // or lasting tasks may hold all the room
+	for _, id := range h.submitted { // lasting tasks may otherwise hold all the room
 		if id[0] == 'l' && !h.faultyWorkflows[id] {
 			h.cell.Cancel(id, h.now, func(error) {})
 		}
@@ -217,7 +217,7 @@
 	}
 }
 
-// requireFinal checks that all accepted work has come to its end.
+// requireFinal checks that all accepted workflows have ended.
 func (h *history) requireFinal(t *testing.T) {
 	for id := range h.accepted {
 		state, found := h.cell.State(id)
@@ -226,8 +226,8 @@
 	}
 }
 
-// cost returns how many workers crashed under each culprit that was started, and how many
-// culprits crashed just two.
+// cost returns the number of worker crashes caused by faulty tasks, the number of faulty tasks that were started, and
+// the number of those that crashed at most two workers.
 func (h *history) cost() (crashed, faultyTasks, atTwo int) {
 	for task := range h.faultyTasks {
 		under := h.runner.CrashesUnder(task)
@@ -255,12 +255,11 @@
 	return out
 }
 
-// TestBlameAmongRandomFaults plays culprits of all kinds of work among innocent tasks while
-// racks, single workers, owners, commits and orders fail, and ends come late. Whatever is
-// lost, no culprit is started three times more after three crashes, each of them ends as
-// failed, and no innocent workflow does.
+// TestBlameAmongRandomFaults plays faulty tasks of all kinds of work among innocent ones while racks, single workers,
+// owners, commits and orders fail and ends are listed late. No faulty task may be started three times more after
+// three crashes, each must fail its workflow, and no innocent workflow may fail.
 //
-//	go test ./internal/workflow/planner -run TestBlameIsFair -args -blame.histories 1000
+//	go test ./internal/workflow/planner -run TestBlameAmongRandomFaults -args -blame.histories 1000
 func TestBlameAmongRandomFaults(t *testing.T) {
 	t.Parallel()
 	crashed, faultyTasks, atTwo := 0, 0, 0
@@ -280,11 +279,11 @@
 			crashed, faultyTasks, atTwo = crashed+a, faultyTasks+b, atTwo+c
 		})
 	}
-	t.Logf("%d culprits crashed %.2f workers each, %d of them two at most", faultyTasks, float64(crashed)/float64(faultyTasks), atTwo)
+	t.Logf("%d faulty tasks crashed %.2f workers each, %d of them at most two", faultyTasks, float64(crashed)/float64(faultyTasks), atTwo)
 }
 
-// TestCrashesPerFaultyTask prints, for each policy, what culprits cost where nothing else
-// fails, and checks that most of them are convicted at their second crash by the default.
+// TestCrashesPerFaultyTask logs, for each policy, the crashes that faulty tasks cause without other faults, and
+// checks that the default policy gives most of them up at their second crash.
 func TestCrashesPerFaultyTask(t *testing.T) {
 	t.Parallel()
 	for _, policy := range []string{"count", "apart", "fair"} {
@@ -297,7 +296,7 @@
 			crashed, faultyTasks, atTwo = crashed+a, faultyTasks+b, atTwo+c
 			innocent += len(h.wronglyGivenUp())
 		}
-		t.Logf("%s: %d culprits, %.2f crashes each, %d at two, %d innocent workflows given up", policy, faultyTasks,
+		t.Logf("%s: %d faulty tasks, %.2f crashes each, %d with at most two, %d innocent workflows given up", policy, faultyTasks,
 			float64(crashed)/float64(faultyTasks), atTwo, innocent)
 		if policy == "fair" {
 			require.Zero(t, innocent)
--- a/internal/workflow/planner/blamefaults_test.go
+++ b/internal/workflow/planner/blamefaults_test.go
@@ -10,19 +10,18 @@
 )
 
 const (
-	// flappingDivisor is the part of the workers, as a divisor, that go down and up by themselves, each flapSpan
-	// to twice that.
+	// flappingDivisor is the fraction, as a divisor, of the workers that restart on their own, each after
+	// minFlapInterval to twice that.
 	flappingDivisor = 6
 	minFlapInterval = 1500 * cottonlanding.Millis(1)
-	// crashWaveOdds is one in how many troubles crashes two fifths of the workers at once, partitionOdds cuts off four
-	// fifths for longer than a lease while an owner ends.
+	// crashWaveOdds is one in how many faults crashes two fifths of the workers at once, partitionOdds one in how
+	// many cuts off four fifths for longer than a lease while the owner changes.
 	crashWaveOdds, partitionOdds = 6, 3
-	// minEnds is how many workers must have ended under a task for its workflow to be given up. Source:
-	// the rule on tasks that crash their workers.
+	// minEnds is how many workers must have ended under a task before its workflow may be given up.
 	minEnds = 2
 )
 
-// massFaultHistory plays a history whose workers flap, crash in waves and are cut off beside changes of owner.
+// massFaultHistory plays a history whose workers flap, crash in waves and are cut off while owners change.
 type massFaultHistory struct {
 	*restartHistory
 	flapAt map[cottonlanding.WorkerID]cottonlanding.Millis
@@ -74,7 +73,7 @@
 	}
 }
 
-// injectMassFault crashes or cuts off many workers at once, now and then.
+// injectMassFault occasionally crashes or cuts off many workers at once.
 func (h *massFaultHistory) injectMassFault() {
 	if h.random.Intn(faultOdds) > 0 {
 		return
@@ -96,7 +95,7 @@
 	}
 }
 
-// requireMinEnds checks that no workflow was given up under which fewer workers have ended than the rule asks.
+// requireMinEnds checks that each workflow that was given up has a task under which at least minEnds workers ended.
 func (h *history) requireMinEnds(t *testing.T) {
 	for _, id := range h.submitted {
 		if state, _ := h.cell.State(id); state != cottonlanding.WorkflowFailed {
@@ -106,15 +105,15 @@
 		for index := range maxTasks {
 			most = max(most, h.runner.EndsUnder(cottonlanding.TaskRef{Workflow: id, Index: index}))
 		}
-		require.GreaterOrEqual(t, most, minEnds, "workflow %s is given up", id)
+		require.GreaterOrEqual(t, most, minEnds, "workflow %s was given up without enough ended workers", id)
 	}
 }
 
-// TestInnocentWorkflowsSurviveFaults plays innocent work of all kinds on workers that flap, crash in waves, are
-// cut off, leave and come back under their names while owners are killed, cut off and stand still. A
-// workflow that was given up there was the incident.
+// TestInnocentWorkflowsSurviveFaults guards against giving up workflows without a cause. It plays innocent work of
+// all kinds on workers that flap, crash in waves, are cut off, leave and come back under their ids while owners are
+// killed, cut off and stand still.
 //
-//	go test ./internal/workflow/planner -run TestNoWorkflowIsGivenUp -args -blame.histories 1000
+//	go test ./internal/workflow/planner -run TestInnocentWorkflowsSurviveFaults -args -blame.histories 1000
 func TestInnocentWorkflowsSurviveFaults(t *testing.T) {
 	t.Parallel()
 	submitted := 0
@@ -129,13 +128,14 @@
 			submitted += len(h.submitted)
 		})
 	}
-	t.Logf("%d workflows, none of them a culprit", submitted)
+	t.Logf("%d workflows without a faulty task", submitted)
 }
 
-// TestFaultyTasksAreBounded is the other side: among the same troubles, no culprit is started three
-// times more after three crashes, and no workflow is given up without two workers that ended under it.
+// TestFaultyTasksAreBounded plays the faults of TestInnocentWorkflowsSurviveFaults with faulty tasks. None may be
+// started three times more after three crashes, and no workflow may be given up without two workers that ended under
+// it.
 //
-//	go test ./internal/workflow/planner -run TestCulpritsAreBounded -args -blame.histories 1000
+//	go test ./internal/workflow/planner -run TestFaultyTasksAreBounded -args -blame.histories 1000
 func TestFaultyTasksAreBounded(t *testing.T) {
 	t.Parallel()
 	crashed, faultyTasks, atTwo, innocent, submitted := 0, 0, 0, 0, 0
@@ -152,6 +152,6 @@
 			innocent, submitted = innocent+len(h.wronglyGivenUp()), submitted+len(h.submitted)
 		})
 	}
-	t.Logf("%d culprits crashed %.2f workers each, %d of them two at most; %d of %d workflows were given up without a culprit",
+	t.Logf("%d faulty tasks crashed %.2f workers each, %d of them at most two; %d of %d workflows were given up without one",
 		faultyTasks, float64(crashed)/float64(max(1, faultyTasks)), atTwo, innocent, submitted)
 }
--- a/internal/workflow/planner/blameleaving_test.go
+++ b/internal/workflow/planner/blameleaving_test.go
@@ -8,16 +8,16 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A life that was known to leave counts for the loss of a task if the task had just begun there. Where
-// the owner can't know when the task began, it may have been just before: the owner came later, the
-// life held the start back, or the start went out after a look had got no answer. In each of
-// these ways a task that crashes its workers was started without bound. The tests end the first
-// worker's life, which has said that it leaves, time after time.
+// These tests guard against unbounded starts of a task that crashes workers which have announced that they leave. The
+// loss of such a life counts if the task had just begun there. Where the owner can't know when the task began, it may
+// have been just before the end: the owner took over later, the life delayed the start, or the start was sent after a
+// failed poll. The tests end the first worker's leaving life again and again.
 
-// stopTurns let a worker that is back answer, and have old runs ruled out; nothing is committed.
+// stopTurns is how many turns let a restarted worker answer and acknowledge the stops of old runs; nothing is
+// committed.
 const stopTurns = 30
 
-// settleStops lets what is to be ruled out be so, without a new start.
+// settleStops lets old runs be ruled out without a new start.
 func (w *world) settleStops() {
 	for range stopTurns {
 		w.now += turnSpan
@@ -26,7 +26,7 @@
 	}
 }
 
-// restartLeavingWorker has the first worker's life, which has said that it leaves, be followed by another.
+// restartLeavingWorker has the first worker's leaving life followed by another one.
 func (w *world) restartLeavingWorker() {
 	w.now += crashDelay
 	require.NotEmpty(w.t, w.runner.TakeCrashed())
@@ -34,6 +34,8 @@
 	w.settleStops()
 }
 
+// TestLossOfLeavingLifeCountsForNextOwner: the owner changes after the start, so that it is unknown when the task
+// began.
 func TestLossOfLeavingLifeCountsForNextOwner(t *testing.T) {
 	w := newFaultyTask(t)
 	for range crashesPlayed {
@@ -49,6 +51,7 @@
 	w.requireGivenUp()
 }
 
+// TestStartAfterFailedPollCounts: the start is sent after a poll has failed.
 func TestStartAfterFailedPollCounts(t *testing.T) {
 	w := newFaultyTask(t)
 	for range crashesPlayed {
@@ -70,6 +73,7 @@
 	w.requireGivenUp()
 }
 
+// TestStartDelayedByLeavingLifeCounts: the leaving life executes the start one second late.
 func TestStartDelayedByLeavingLifeCounts(t *testing.T) {
 	w := newFaultyTask(t)
 	for range crashesPlayed {
--- a/internal/workflow/planner/blameonce_test.go
+++ b/internal/workflow/planner/blameonce_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLossCountsOnceUnderTwoOwners: a start without an answer and a crash from outside, and another owner
-// while the run is ruled out in the next life, which the row had as placed on the life before. The
-// next owner lost it with that life once more, so that one crash counted for two.
+// TestLossCountsOnceUnderTwoOwners guards against counting one crash twice: after an unanswered start and an
+// unrelated crash, the owner changes while the run is being ruled out in the next life. The row still had it on the
+// previous life, so that the next owner counted its loss once more.
 func TestLossCountsOnceUnderTwoOwners(t *testing.T) {
 	w := newWorldWithBirths(t)
-	w.policy = policyNamed(t, "count") // three losses are allowed to none
+	w.policy = policyNamed(t, "count") // this policy allows no task three losses
 	w.takeOver()
 	w.submit("slow", "Urgent", quickOn("w1", 1))
 	for range 2 {
--- a/internal/workflow/planner/blameoutage_test.go
+++ b/internal/workflow/planner/blameoutage_test.go
@@ -8,8 +8,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// crashAll has all workers crash at once for a cause of their own; each is back at once under its id,
-// in a state, and its entry is read before it is heard. The first is heard last.
+// crashAll crashes all workers at once for an outer cause. Each is back at once under its id in the given state, and
+// its entry is read before it answers. The first worker answers last.
 func (w *world) crashAll(back cottonlanding.HostState) {
 	for at := range w.workers {
 		w.restartWorker(at)
@@ -26,10 +26,9 @@
 	w.settleStops()
 }
 
-// TestLeavingNextLivesShowOuterCause: a task is held for the cause of no crash that its worker shares with
-// others on which nothing had begun. Where the next lives of those were leaving, their entries
-// made the crash of the lives before no surprise, the alibi was gone, and the second crash from
-// outside gave the task's workflow up.
+// TestLeavingNextLivesShowOuterCause guards against blaming a task for a crash that its worker shares with others on
+// which nothing had begun. Where the next lives of the others were leaving, their entries made the ends of the
+// previous lives look expected, the outer cause was missed, and the second such crash gave up the task's workflow.
 func TestLeavingNextLivesShowOuterCause(t *testing.T) {
 	for name, back := range map[string]cottonlanding.HostState{"live": cottonlanding.Live, "leaving": cottonlanding.Leaving} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/workflow/planner/blamepartitions_test.go
+++ b/internal/workflow/planner/blamepartitions_test.go
@@ -8,18 +8,18 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A workflow was shown as failed although none of its tasks had failed as often as its queue allows, and
-// a lasting task of it ran no more. The tests bring that about without a task that harms anybody: a lease
-// that ran out counted as a crash of the worker, and a worker that ends by itself as one by the task.
+// These tests guard against failing a workflow, and stopping its lasting tasks for good, although none of its tasks has
+// failed as often as its queue allows. That happened in two ways: an expired lease counted as a crash of the worker,
+// and the crash of a worker that ends on its own counted as one caused by the task. No task here harms its worker.
 
 const (
-	// partitionSpan is longer than a lease: the owner gives the runs up.
+	// partitionSpan is longer than a lease, so that the owner gives the runs up.
 	partitionSpan = 7 * cottonlanding.Second
-	// partitionsPlayed is more losses than a task may have that crashes its workers.
+	// partitionsPlayed is more losses than a task that crashes its workers may have.
 	partitionsPlayed = 8
 )
 
-// stepsByKind returns a step of each kind of work, whose tasks last for long.
+// stepsByKind returns a step of each kind of work with long-running tasks.
 func stepsByKind() map[string]cottonlanding.Step {
 	base := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}, Estimate: 500}
 	short, lasting, filling, gang := base, base, base, base
@@ -29,7 +29,7 @@
 	return map[string]cottonlanding.Step{"short": short, "lasting": lasting, "filling": filling, "gang": gang}
 }
 
-// longRunningID is the id of a workflow whose tasks run for longer than a cut.
+// longRunningID returns the id of a workflow whose tasks run for longer than partitionSpan.
 func longRunningID(step cottonlanding.Step) cottonlanding.WorkflowID {
 	if step.Lasting {
 		return "lasting"
@@ -37,7 +37,7 @@
 	return "slow"
 }
 
-// cut keeps the workers that run something out of reach for a span, at the end of which something happens.
+// cut makes the workers with runs unreachable for a span and calls meanwhile at its end.
 func (w *world) cut(span cottonlanding.Millis, meanwhile func()) {
 	var cut []cottonlanding.WorkerID
 	for _, info := range w.workers {
@@ -46,7 +46,7 @@
 			w.runner.Dark(info.ID, true)
 		}
 	}
-	require.NotEmpty(w.t, cut, "nothing runs")
+	require.NotEmpty(w.t, cut, "no worker has a run")
 	w.play(span)
 	meanwhile()
 	for _, id := range cut {
@@ -55,9 +55,9 @@
 	w.play(cottonlanding.Second)
 }
 
-// TestWorkflowSurvivesPartitions: a lease that ran out was charged to the task as the crash of its worker, and was taken
-// back only by the owner that had charged it. After five such cuts beside changes of owner the
-// workflow was shown as failed, with all workers alive.
+// TestWorkflowSurvivesPartitions guards against counting expired leases as crashes: only the owner that had counted
+// such a loss took it back, so that after five cuts with changes of owner the workflow failed although all workers
+// were alive.
 func TestWorkflowSurvivesPartitions(t *testing.T) {
 	for kind, step := range stepsByKind() {
 		for name, meanwhile := range map[string]func(*world){
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestWorkflowSurvivesLostWorkers is TestCutsFailNoWorkflow with workers that stay out of reach, while new
-// ones come.
+// TestWorkflowSurvivesLostWorkers is TestWorkflowSurvivesPartitions with workers that stay unreachable while new ones
+// join.
 func TestWorkflowSurvivesLostWorkers(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -103,12 +103,12 @@
 // requireStillRunning checks that a workflow is neither given up nor left waiting.
 func (w *world) requireStillRunning(id cottonlanding.WorkflowID) {
 	w.requireState(id, cottonlanding.WorkflowRunning)
-	require.Positive(w.t, w.runner.Running(), "nothing of %s runs", id)
+	require.Positive(w.t, w.runner.Running(), "no task of %s runs", id)
 }
 
-// TestWorkflowSurvivesUnstableWorker: a worker went down and up by itself, with a lasting task on it that
-// had run there for a while each time. The third such life convicted the task, though the worker
-// ended without it as well.
+// TestWorkflowSurvivesUnstableWorker guards against blaming a task for a worker that restarts on its own: a lasting
+// task had run there for a while each time, and was given up at the third end although the worker also ended without
+// it.
 func TestWorkflowSurvivesUnstableWorker(t *testing.T) {
 	for name, after := range map[string]cottonlanding.Millis{"soon": 1200, "later": 9500} {
 		for owners, then := range map[string]func(*world){
@@ -135,7 +135,7 @@
 	}
 }
 
-// playUntilStarted lets turns pass until a task is started.
+// playUntilStarted plays turns until a task is started.
 func (w *world) playUntilStarted() {
 	before := w.runner.Starts()
 	for range 400 {
@@ -144,11 +144,12 @@
 		}
 		w.turn(turnSpan)
 	}
-	require.Fail(w.t, "nothing is started any more")
+	require.Fail(w.t, "no further task is started")
 }
 
-// TestNextAnswerResolvesOpenLife: what a lease that ran out proves is known when the worker answers again, to the
-// same owner or the next one: the same life proves nothing, another one that the task may have ended it.
+// TestNextAnswerResolvesOpenLife: the next answer of a worker resolves what its expired lease left open, for the same
+// owner or the next one. The same life proves nothing against the task, another life proves that the task may have
+// ended the previous one.
 func TestNextAnswerResolvesOpenLife(t *testing.T) {
 	for name, c := range map[string]struct {
 		takesOver, reborn bool
@@ -177,7 +178,7 @@
 				w.relist()
 			}
 			w.play(cottonlanding.Second)
-			require.Contains(t, w.cell.Fingerprint(w.now), c.counts+"  true", "nothing is open any more")
+			require.Contains(t, w.cell.Fingerprint(w.now), c.counts+"  true", "no open life must remain")
 		})
 	}
 }
--- a/internal/workflow/planner/blamerefused_test.go
+++ b/internal/workflow/planner/blamerefused_test.go
@@ -9,9 +9,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestRefusedStartAfterPollIsInnocent is TestRefusedStartIsNoCause where a look is answered by the other
-// life before the start is: the two go over connections of their own. The start was charged at the
-// look, as one that had just begun, and nobody took that back when it was refused.
+// TestRefusedStartAfterPollIsInnocent is TestRefusedStartIsInnocent where the other life answers a poll before the
+// start, since the two use separate connections. The start was counted as a loss at the poll, as one that had just
+// begun, and the refusal didn't retract that.
 func TestRefusedStartAfterPollIsInnocent(t *testing.T) {
 	requireInnocent(t, func(w *world, start planner.Order) {
 		w.pollOtherLife(start)
@@ -19,15 +19,15 @@
 	})
 }
 
-// pollOtherLife has another life answer a look that was meant for the one to which a start was given.
+// pollOtherLife has another life answer a poll that was meant for the life to which a start was given.
 func (w *world) pollOtherLife(start planner.Order) {
 	poll, found := w.cell.NextPoll(start.Worker.Life.Worker, w.now)
 	require.True(w.t, found)
 	w.cell.PollFailed(poll, cottonlanding.ErrOtherLife, w.now)
 }
 
-// TestRefusedCopyOfTakenStartCounts: only a start that surely had no effect is no cause. A copy of one that
-// got no answer may have begun and ended the life before the next copy was refused.
+// TestRefusedCopyOfTakenStartCounts: only a start that is certain to have had no effect is innocent. An unanswered
+// copy may have begun the run and ended the life before the next copy was refused.
 func TestRefusedCopyOfTakenStartCounts(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("culprit", "Urgent", quick(1))
@@ -42,5 +42,5 @@
 	second[0].SentAt = w.now
 	w.pollOtherLife(second[0])
 	w.cell.OrderAnswered(second[0], 0, cottonlanding.ErrOtherLife, w.now)
-	require.Contains(t, w.cell.Fingerprint(w.now), "{1 0}", "it may have been the cause, and nobody knows that it began")
+	require.Contains(t, w.cell.Fingerprint(w.now), "{1 0}", "the start may have been the cause, but it is unknown whether it began")
 }
--- a/internal/workflow/planner/blamerepeat_test.go
+++ b/internal/workflow/planner/blamerepeat_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRepeatedStartReachesOneLife: a start without an answer is repeated each 250 ms while the worker
-// answered a look within three seconds. Where each life that it ends is back under its id sooner, and
-// no look is under way, as while ends wait for their commit, each copy begins the task in another
-// life, and none of these crashes is counted before the next look.
+// TestRepeatedStartReachesOneLife guards against one start that crashes life after life: an unanswered start is
+// repeated each 250 ms while the worker answered a poll within three seconds. If each life is back under its id
+// sooner than that and no poll is sent, as while ends wait for their commit, each copy would begin the task in
+// another life, and none of these crashes would count before the next poll.
 func TestRepeatedStartReachesOneLife(t *testing.T) {
 	w := newFaultyTask(t)
 	for range 80 {
--- a/internal/workflow/planner/blamereplaced_test.go
+++ b/internal/workflow/planner/blamereplaced_test.go
@@ -7,10 +7,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestCrashOfReplacedLifeCounts: in a soak of real processes (seed 71011) a task that crashes its workers was
-// started a sixth time. Its worker was back under another id before the next owner came, which had never read the
-// entry of the life before: the lease ran out, nobody could ever tell what became of that life, and the loss
-// stayed open for good.
+// TestCrashOfReplacedLifeCounts guards against a loss that stays open for good: the worker is back under another id
+// before the next owner takes over, which never read the entry of the previous life. The lease expired, nothing could
+// tell the outcome of that life, and a task that crashes its workers was started a sixth time.
 func TestCrashOfReplacedLifeCounts(t *testing.T) {
 	w := newFaultyTask(t)
 	for number := range crashesPlayed {
--- a/internal/workflow/planner/blamerestarts_test.go
+++ b/internal/workflow/planner/blamerestarts_test.go
@@ -9,19 +9,16 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// In a soak of real processes a task that crashes its workers was started once too often, where
-// losses fell into changes of owner. It came about in two ways. The worker was back under its id
-// before the next owner had heard of the life that the task had ended; the entry that this owner
-// read was of the new life, which was leaving already, so that the end of the life before was
-// taken for no surprise. Or the owner gave the run up once its lease had run out, and took that
-// back when the worker answered again, though in another life. One cause suffices for both: what is
-// known of one life told of the end of another. The tests have the task's worker come back
-// under its id in these ways, time after time, and no other fault.
-
-// crashesPlayed is more crashes than a task may have had before it is given up.
+// These tests guard against starting a task that crashes its workers once too often when its losses coincide with
+// changes of owner. That happened in two ways, both because knowledge of one life was applied to another. Either the
+// worker was back under its id before the next owner had heard of the ended life, and that owner read the entry of
+// the new life, which was already leaving, so that the end of the previous life looked expected. Or the owner gave
+// the run up when its lease expired, and took the loss back when the worker answered again, though in another life.
+
+// crashesPlayed is more crashes than a task may have before it is given up.
 const crashesPlayed = 8
 
-// newFaultyTask hands in a task that crashes its workers and that only the first worker may run.
+// newFaultyTask submits a task that crashes its workers and that only the first worker may run.
 func newFaultyTask(t require.TestingT) *world {
 	w := newWorldWithBirths(t)
 	w.faultyTasks, w.crashAfter = map[cottonlanding.TaskRef]bool{firstTask("culprit"): true}, crashDelay
@@ -29,7 +26,7 @@
 	return w
 }
 
-// crashFirstWorker lets the task begin and end its worker's life, without its owner noticing.
+// crashFirstWorker lets the task begin and end its worker's life before its owner notices.
 func (w *world) crashFirstWorker() {
 	w.play(cottonlanding.Second)
 	for range 40 {
@@ -47,12 +44,14 @@
 	w.requireState("culprit", cottonlanding.WorkflowFailed)
 }
 
-// setState tells the owner of another state of the first worker.
+// setState publishes another state of the first worker.
 func (w *world) setState(state cottonlanding.HostState) {
 	w.workers[0].State = state
 	w.relist()
 }
 
+// TestCrashBeforeLeavingLifeCounts: the next life already leaves when its entry is read, and the crash of the life
+// before it must count all the same.
 func TestCrashBeforeLeavingLifeCounts(t *testing.T) {
 	for name, next := range map[string]func(*world){
 		"same owner": func(w *world) { w.relist() },
@@ -73,8 +72,9 @@
 	}
 }
 
-// TestCrashOfLeavingLifeCounts: a life that leaves was sent the task before it said so. That its
-// end is no surprise is true of the span it needs to leave, not of the moment after the task began.
+// TestCrashOfLeavingLifeCounts guards against excusing crashes of leaving lives: the life was sent the task before it
+// announced that it leaves. Its end is expected within the time that it needs to leave, but not just after the task
+// began.
 func TestCrashOfLeavingLifeCounts(t *testing.T) {
 	w := newFaultyTask(t)
 	for range crashesPlayed {
@@ -86,7 +86,7 @@
 	w.requireGivenUp()
 }
 
-// answerFromNextLife has the first worker be back after a second, and answer before its entry is read.
+// answerFromNextLife has the first worker be back after a second and answer before its new entry is read.
 func (w *world) answerFromNextLife() {
 	w.restartWorker(0)
 	w.now += cottonlanding.Second
@@ -94,6 +94,8 @@
 	w.setState(cottonlanding.Live)
 }
 
+// TestLapseBeforeNextLifeCounts: the run is given up when its lease expires, and an answer of another life must not
+// retract the loss.
 func TestLapseBeforeNextLifeCounts(t *testing.T) {
 	w := newFaultyTask(t)
 	for range crashesPlayed {
@@ -106,11 +108,9 @@
 	w.requireGivenUp()
 }
 
-// TestOneOfManyRunsIsInnocent: in a soak of real processes an accepted workflow was given up at two
-// crashes from outside. At the first, some thirty tasks had begun on the worker within ten
-// seconds and none just before, so that all of them were held for suspects; at the second one of
-// them, which ran apart for that, had begun 43 ms before. The cause is that one of thirty was charged with
-// a crash as if it had stood out.
+// TestOneOfManyRunsIsInnocent guards against giving up an innocent workflow after two unrelated crashes. At the
+// first, some thirty tasks had begun on the worker within ten seconds and none just before, and all of them were
+// suspects; at the second, one of them, isolated for that reason, had begun 43 ms before.
 func TestOneOfManyRunsIsInnocent(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 6))
@@ -133,7 +133,7 @@
 	require.Zero(t, w.cell.Counts().FailedByCrashes)
 }
 
-// leavingOdds is one in how many lives says that it leaves as soon as it has begun, for leavingSpan.
+// leavingOdds is one in how many lives announces that it leaves as soon as it has begun, for leavingSpan.
 const (
 	leavingOdds = 4
 	leavingSpan = 2 * cottonlanding.Second
@@ -142,12 +142,12 @@
 // restartHistory plays a history whose workers are back under their ids.
 type restartHistory struct {
 	*history
-	// restartAt is when a worker that has crashed is back, staysUntil when one that leaves stays after all.
+	// restartAt is when a crashed worker is back, leavingUntil when a leaving worker decides to stay.
 	restartAt    map[cottonlanding.WorkerID]cottonlanding.Millis
 	leavingUntil map[cottonlanding.WorkerID]cottonlanding.Millis
 }
 
-// restartCrashed takes the place of relist.
+// restartCrashed replaces relist.
 func (r *restartHistory) restartCrashed() {
 	for _, id := range r.runner.TakeCrashed() {
 		r.crashedAt[id] = r.now
@@ -172,14 +172,14 @@
 			changed = true
 		}
 	}
-	if changed && r.random.Intn(2) == 0 { // or the entries are read later
+	if changed && r.random.Intn(2) == 0 { // otherwise the entries are read later
 		r.world.relist()
 	}
 }
 
-// TestBlameAcrossLives is TestBlameIsFairAndKept where workers are back under their ids
-// within three seconds, some of them to leave at once. Each second is full of crashes from outside, so that an
-// innocent workflow may be given up, but only where two workers or more have ended under a task of it.
+// TestBlameAcrossLives is TestBlameAmongRandomFaults with workers that are back under their ids within three seconds,
+// some of them to leave at once. Unrelated crashes are so frequent that an innocent workflow may be given up, but
+// only if at least two workers ended under one of its tasks.
 //
 //	go test ./internal/workflow/planner -run TestBlameAcrossLives -args -blame.histories 1000
 func TestBlameAcrossLives(t *testing.T) {
@@ -205,5 +205,5 @@
 			wronglyGivenUp, submitted = wronglyGivenUp+len(r.wronglyGivenUp()), submitted+len(r.submitted)
 		})
 	}
-	t.Logf("%d of %d workflows were given up without a culprit", wronglyGivenUp, submitted)
+	t.Logf("%d of %d workflows were given up without a faulty task", wronglyGivenUp, submitted)
 }
--- a/internal/workflow/planner/blamesmall_test.go
+++ b/internal/workflow/planner/blamesmall_test.go
@@ -10,11 +10,11 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// maxSmallWorkers is the most workers of a small cell.
+// maxSmallWorkers is the maximum number of workers of a small cell.
 const maxSmallWorkers = 3
 
-// smallCell is a history whose workers are back under their ids, one to three of them, some of which say at any
-// time that they leave, and hold orders back.
+// smallCell returns a history with one to three workers that are back under their ids, some of which announce at any
+// time that they leave, and delay orders.
 func smallCell(t *testing.T, seed int64) *restartHistory {
 	r := &restartHistory{
 		history:      newHistory(t, seed, "fair", denseFaultOdds),
@@ -33,7 +33,7 @@
 	return r
 }
 
-// leaveAtRandom has a worker that goes on say for a while that it leaves.
+// leaveAtRandom has a running worker announce for a while that it leaves.
 func (r *restartHistory) leaveAtRandom() {
 	at := r.random.Intn(len(r.workers))
 	id := r.workers[at].ID
@@ -45,8 +45,8 @@
 	r.world.relist()
 }
 
-// TestBlameInSmallCell is TestBlameIsKeptAcrossLives with few workers, which say at any time that
-// they leave. There a task that is started anew meets the same worker, so that nothing tells it from a culprit.
+// TestBlameInSmallCell is TestBlameAcrossLives with few workers, which announce at any time that they leave. A task
+// that is started again meets the same worker there, so that nothing distinguishes it from a faulty task.
 func TestBlameInSmallCell(t *testing.T) {
 	t.Parallel()
 	wronglyGivenUp, submitted := 0, 0
@@ -59,5 +59,5 @@
 			wronglyGivenUp, submitted = wronglyGivenUp+len(r.wronglyGivenUp()), submitted+len(r.submitted)
 		})
 	}
-	t.Logf("%d of %d workflows were given up without a culprit", wronglyGivenUp, submitted)
+	t.Logf("%d of %d workflows were given up without a faulty task", wronglyGivenUp, submitted)
 }
--- a/internal/workflow/planner/crash_test.go
+++ b/internal/workflow/planner/crash_test.go
@@ -13,18 +13,16 @@
 const (
 	// restartDelay is how long a crashed worker takes to be back at its address.
 	restartDelay = 3 * cottonlanding.Second
-	// entryRetention is how long the entry of a crashed life is still listed.
+	// entryRetention is how long the entry of a crashed life stays listed.
 	entryRetention = 4500 * cottonlanding.Millis(1)
-	// crashDelay is how soon a culprit ends its worker on the recorded day.
+	// crashDelay is how soon a faulty task crashes its worker.
 	crashDelay = 10 * cottonlanding.Millis(1)
 )
 
-// crashWorld plays what becomes of workers that crash: their entries stay for a while, and new
-// lives come at their addresses.
+// crashWorld plays workers that crash: their list entries stay for a while, and new lives appear at their addresses.
 type crashWorld struct {
 	*world
-	// crashedAt holds when each crashed life was seen to have crashed, back those of them that
-	// have a successor.
+	// crashedAt holds when each crash was seen, restarted the crashed lives that have a successor.
 	crashedAt map[cottonlanding.WorkerID]cottonlanding.Millis
 	restarted map[cottonlanding.WorkerID]bool
 }
@@ -37,7 +35,7 @@
 	return &crashWorld{world: w, crashedAt: make(map[cottonlanding.WorkerID]cottonlanding.Millis), restarted: make(map[cottonlanding.WorkerID]bool)}
 }
 
-// relist brings crashed workers back and drops the entries of their earlier lives.
+// relist restarts crashed workers and removes the entries of their earlier lives.
 func (c *crashWorld) relist() {
 	for _, id := range c.runner.TakeCrashed() {
 		c.crashedAt[id] = c.now
@@ -70,19 +68,15 @@
 	}
 }
 
-// firstTask names the firstTask task of a workflow's step.
+// firstTask returns the first task of a workflow's only step.
 func firstTask(id cottonlanding.WorkflowID) cottonlanding.TaskRef {
 	return cottonlanding.TaskRef{Workflow: id}
 }
 
-// On a day with tasks that crash every worker that starts them, two such tasks were started
-// 37 and 55 times by one owner, each some three seconds after the last, and half of the
-// workers were down at any time. It came about in this way: the worker crashes within 10 ms
-// and takes its list of ends along; three seconds later another life answers at its address,
-// the run is given up, and the task waits again as if it had never run. The cause is that
-// only ends which a worker lists as failed count as attempts: what ends the one who would
-// report it is counted by nobody. This test proves it, with one owner and no fault but the
-// task: its starts have no bound, whatever the kind of work.
+// TestFaultyTaskIsGivenUp guards against unbounded starts of a task that crashes each worker that starts it. The
+// worker crashes within 10 ms and loses its list of ends; three seconds later another life answers at its address,
+// the run is given up, and the task waits as if it had never run. Since only listed failures counted as attempts,
+// such tasks were started 37 and 55 times by one owner, and half of the workers were down at any time.
 func TestFaultyTaskIsGivenUp(t *testing.T) {
 	short := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}, Estimate: 500}
 	lasting, filling, gang, optional, saved := short, short, short, short, short
@@ -109,39 +103,37 @@
 	}
 }
 
-// On the same day the owner asked 8 lives that had crashed 300 times in two seconds: each
-// answer of another life made it forget the life, and the entry, which stays for seconds,
-// made it known again. That fills the log and costs calls, and proves a second cause: that a
-// life has ended is forgotten sooner than its entry.
+// TestEndedLifeIsPolledOnce guards against polling ended lives again and again: the answer of another life made the
+// owner forget the life, and its list entry, which stays for seconds, made it known again. 8 crashed lives were
+// polled 300 times in two seconds.
 func TestEndedLifeIsPolledOnce(t *testing.T) {
 	c := newCrashWorld(newWorld(t), firstTask("culprit"))
 	c.play(cottonlanding.Second)
 	c.submit("culprit", "Urgent", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 2000}, Estimate: 500})
 	c.play(restartDelay + cottonlanding.Second)
-	require.NotEmpty(t, c.restarted, "no worker is back")
+	require.NotEmpty(t, c.restarted, "no worker was restarted")
 	for id := range c.restarted {
 		_, found := c.cell.NextPoll(id, c.now)
-		require.False(t, found, "worker %s, whose life has ended, would be asked", id)
+		require.False(t, found, "worker %s would be polled after its life ended", id)
 	}
 	for range 3 {
 		c.cell.SetWorkers(slices.Clone(c.workers), c.now)
 		for id := range c.restarted {
 			_, found := c.cell.NextPoll(id, c.now)
-			require.False(t, found, "worker %s, whose life has ended, would be asked again", id)
+			require.False(t, found, "worker %s would be polled again after its life ended", id)
 		}
 	}
 }
 
-// TestRefusedStartIsInnocent: in a soak of real processes an accepted workflow was given up. Half of
-// the workers had crashed while its owner stood still; the first that it told each of them
-// was a start, to which another life answered. The life that was meant was over before the
-// start went out, but a run that was sent just before its worker was lost is a suspect.
+// TestRefusedStartIsInnocent guards against giving up an innocent workflow: workers crash while their owner stands
+// still, and the first that it sends to each of them is a start, which another life refuses. The intended life was
+// over before the start was sent, but a run sent just before its worker is lost is a suspect.
 func TestRefusedStartIsInnocent(t *testing.T) {
 	requireInnocent(t, func(*world, planner.Order) {})
 }
 
-// requireInnocent has all starts of an innocent task but the last be refused by other lives, after
-// something has come between each start and its answer.
+// requireInnocent has all starts of an innocent task but the last refused by other lives, after between has run
+// between each start and its answer.
 func requireInnocent(t *testing.T, between func(*world, planner.Order)) {
 	w := newWorldWithBirths(t)
 	w.submit("innocent", "Urgent", quick(1))
--- a/internal/workflow/planner/downtimerule_test.go
+++ b/internal/workflow/planner/downtimerule_test.go
@@ -10,29 +10,31 @@
 	"github.com/cottonlanding/cottonlanding/internal/stand/runner"
 )
 
-// The users' rule on lasting tasks that are down. Source of all figures: that rule.
+// The users' requirement on the downtime of lasting tasks: a task that isn't running must run again while there is
+// room.
 const (
-	// downGrace is how long after the end of its last run a task's being down begins to count, downFor for how long on
-	// end that may last.
+	// downGrace is how long after the end of a task's last run its downtime begins to count, maxDownSpan how long it
+	// may then last without interruption.
 	downGrace   = 6 * cottonlanding.Second
 	maxDownSpan = 3 * cottonlanding.Second
-	// calmLead is how long before that span calm must have begun.
+	// calmLead is how long before that span the last disturbance must have ended.
 	calmLead = 4 * cottonlanding.Second
-	// requiredPlaces is how many times over there must be room.
+	// requiredPlaces is for how many tasks there must be room.
 	requiredPlaces = 2
-	// lowUseDivisor is the part of the service's capacity, as a divisor, below which little is in use.
+	// lowUseDivisor is the fraction, as a divisor, of the service's capacity below which usage is low.
 	lowUseDivisor = 2
 )
 
-// disturbances tells whether trouble is near, by the rule's word: in the span that counts or before it.
+// disturbances tells when disturbances as defined by the requirement ended: those in the span that counts or just
+// before it.
 type disturbances struct {
-	// last is the latest instant at which there was trouble.
+	// last is the latest instant with a disturbance.
 	last cottonlanding.Millis
 	// unable is the latest instant at which no owner could have started anything.
 	unable cottonlanding.Millis
 }
 
-// calmSince returns from when on no disturbance is near.
+// calmSince returns since when no disturbance is near.
 func (d disturbances) calmSince() cottonlanding.Millis { return d.last + calmLead }
 
 // lastingTask is a task that has to run until its workflow is cancelled.
@@ -41,20 +43,20 @@
 	step cottonlanding.Step
 }
 
-// standing is what the rule asks about: what the stand-in's workers really run at an instant.
+// standing is the state that the requirement refers to: what the stand-in workers actually run at an instant.
 type standing struct {
 	now cottonlanding.Millis
-	// usable holds the workers that are sound and may be given tasks, runs what all workers run.
+	// usable holds the sound workers that may be given tasks, runs the runs of all workers.
 	usable []cottonlanding.WorkerInfo
 	runs   map[cottonlanding.WorkerID][]cottonlanding.RunKey
-	// steps tells the step of each workflow, all of whose steps are alike.
+	// steps holds the step of each workflow; all steps of a workflow are alike.
 	steps map[cottonlanding.WorkflowID]cottonlanding.Step
-	// late holds the tasks of which a worker has orders that it will carry out late.
+	// late holds the tasks for which a worker still has delayed orders to execute.
 	late map[cottonlanding.TaskRef]bool
 	near disturbances
 }
 
-// free returns what no run holds of a worker.
+// free returns the unreserved resources of a worker.
 func (s standing) free(info cottonlanding.WorkerInfo) cottonlanding.Resources {
 	free := info.Capacity
 	for _, key := range s.runs[info.ID] {
@@ -63,7 +65,7 @@
 	return free
 }
 
-// places counts the places for tasks of a step, up to those that are needed.
+// places counts the places for tasks of a step, up to requiredPlaces.
 func (s standing) places(id cottonlanding.WorkflowID) int {
 	step := s.steps[id]
 	places := 0
@@ -82,7 +84,7 @@
 	return places
 }
 
-// usageIsLow reports whether under half of the capacity is in use.
+// usageIsLow reports whether less than half of the capacity is in use.
 func (s standing) usageIsLow() bool {
 	var free, capacity cottonlanding.Resources
 	for _, info := range s.usable {
@@ -92,17 +94,17 @@
 	return used.CPU < capacity.CPU && used.Memory < capacity.Memory
 }
 
-// taskDowntime is that of a lasting task that has run and doesn't now.
+// taskDowntime is the downtime of a lasting task that ran before and doesn't run now.
 type taskDowntime struct {
 	task  lastingTask
 	ended cottonlanding.Millis
-	// roomSince and lowUseSince are from when on there has been room twice over, and little in use.
+	// roomSince and lowUseSince are since when there has been room for requiredPlaces tasks, and low usage.
 	roomSince, lowUseSince cottonlanding.Millis
-	// reported says that the rule was found broken by it.
+	// reported says that the violation was reported.
 	reported bool
 }
 
-// violatedCase returns by which of its cases the rule is broken at an instant, or "".
+// violatedCase returns the violated case of the requirement at an instant, or "".
 func (a taskDowntime) violatedCase(s standing) string {
 	begins := max(a.ended+downGrace, a.roomSince)
 	switch {
@@ -114,12 +116,12 @@
 	return ""
 }
 
-// downtimeRule holds histories against the rule, step by step.
+// downtimeRule checks histories against the requirement, step by step.
 type downtimeRule struct {
 	runner *runner.Runner
 	ran    map[cottonlanding.TaskRef]bool
 	down   map[cottonlanding.TaskRef]*taskDowntime
-	// longest is the longest time from the end of a run to the next that was seen.
+	// longest is the longest time seen from the end of a run to the next one.
 	longest cottonlanding.Millis
 }
 
@@ -127,17 +129,17 @@
 	return &downtimeRule{runner: runner, ran: make(map[cottonlanding.TaskRef]bool), down: make(map[cottonlanding.TaskRef]*taskDowntime)}
 }
 
-// violation is a task by which the rule is broken.
+// violation is a task whose downtime violates the requirement.
 type violation struct {
 	taskDowntime
 	by string
 }
 
 func (l violation) String() string {
-	return fmt.Sprintf("task %s is down since %d (%s), room twice over since %d, little in use since %d", l.task.ref, l.ended, l.by, l.roomSince, l.lowUseSince)
+	return fmt.Sprintf("task %s has been down since %d (%s), room since %d, low usage since %d", l.task.ref, l.ended, l.by, l.roomSince, l.lowUseSince)
 }
 
-// check takes in how things stand, and returns the tasks by which the rule is broken since now.
+// check records the state of an instant and returns the violations that begin with it.
 func (r *downtimeRule) check(tasks []lastingTask, s standing) []violation {
 	runs := make(map[cottonlanding.TaskRef]bool)
 	for _, keys := range s.runs {
@@ -181,7 +183,7 @@
 	}
 }
 
-// downtimeOf returns what is known of a task that is down. A run may have come and gone since the last step.
+// downtimeOf returns the downtime of a task that is down. A run may have begun and ended since the last step.
 func (r *downtimeRule) downtimeOf(task lastingTask, now cottonlanding.Millis) *taskDowntime {
 	a := r.down[task.ref]
 	if a == nil {
--- a/internal/workflow/planner/heldroom_test.go
+++ b/internal/workflow/planner/heldroom_test.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// heldWithin is by when a worker is kept for a lasting task that waits.
+	// heldWithin is how soon a worker is held for a lasting task that waits.
 	heldWithin = 6 * cottonlanding.Second
-	// startWithin is how soon a lasting task must run where capacity exists twice
-	// over. Source: the users' rule on lost tasks: six seconds after its last run, and three of calm.
+	// startWithin is how soon a lasting task must run where there is room for two of it: six seconds after its last
+	// run and three of calm.
 	startWithin = 9 * cottonlanding.Second
-	// turnSpan is the span of a turn.
+	// turnSpan is the duration of a turn.
 	turnSpan = 50 * cottonlanding.Millis(1)
-	// initialLabel is that of the workers that are there from the beginning.
+	// initialLabel is the label of the workers that exist from the beginning.
 	initialLabel cottonlanding.Label = "Old"
 )
 
-// lasting is a step of lasting tasks, short one of a task that ends.
+// lasting returns a step of lasting tasks, short one of a single task that ends.
 func lasting(tasks, mostPerWorker int, cpu cottonlanding.Millicores) cottonlanding.Step {
 	return cottonlanding.Step{Tasks: tasks, MostPerWorker: mostPerWorker, Lasting: true,
 		Resources: cottonlanding.Resources{CPU: cpu, Memory: cottonlanding.Gigabyte}}
@@ -41,8 +41,8 @@
 	}
 }
 
-// holdWorkerForLarge brings about that the fourth worker, with 6 of its 8 processors free,
-// is kept for a lasting task that needs 7, while the others have 2.7 free each.
+// holdWorkerForLarge has the fourth worker, with 6 of its 8 processors free, held for a lasting task that needs 7,
+// while the others have 2.7 free each.
 func (w *world) holdWorkerForLarge() {
 	w.labelAll()
 	w.submit("lasting", "Urgent", lasting(3, 1, 5300))
@@ -57,14 +57,14 @@
 	require.Equal(w.t, 3, w.runner.Lasting(), "the large task has no room")
 }
 
-// leave makes a worker leave, and lets its runs be stopped.
+// leave makes a worker leave and lets its runs be stopped.
 func (w *world) leave(number int) {
 	w.workers[number].State = cottonlanding.Leaving
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 	w.play(8 * turnSpan)
 }
 
-// labelAll gives all workers oldLabel, which those that join later lack.
+// labelAll gives all current workers initialLabel, which those that join later lack.
 func (w *world) labelAll() {
 	for at := range w.workers {
 		w.workers[at].Labels = []cottonlanding.Label{initialLabel}
@@ -73,16 +73,14 @@
 	w.play(cottonlanding.Second)
 }
 
-// join adds a worker.
 func (w *world) join() {
 	w.addWorker()
 	w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 	w.play(cottonlanding.Second)
 }
 
-// TestInterruptedTaskTakesHeldRoom checks that a lasting task that was interrupted
-// runs again in time although the only room for it is kept for a larger one that
-// never ran.
+// TestInterruptedTaskTakesHeldRoom checks that an interrupted lasting task runs again in time although the only room
+// for it is held for a larger task that never ran.
 func TestInterruptedTaskTakesHeldRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
@@ -96,13 +94,13 @@
 		left := w.now
 		for w.runner.Lasting() < before {
 			w.turn(turnSpan)
-			require.Less(t, w.now-left, startWithin, "there is room for two of it")
+			require.Less(t, w.now-left, startWithin, "there is room for two such tasks")
 		}
 	})
 }
 
-// TestInterruptedTaskGoesFirst checks that room that comes goes to
-// a lasting task that was interrupted long ago, not to older workflows or short ones.
+// TestInterruptedTaskGoesFirst checks that new room goes to a lasting task that was interrupted long ago, before
+// older workflows and short tasks.
 func TestInterruptedTaskGoesFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
@@ -116,7 +114,7 @@
 		w.join()
 		w.submit("last", "Urgent", lasting(1, 0, 8000))
 		w.play(cottonlanding.Second)
-		require.Equal(t, 4, w.runner.Lasting(), "three of the older workflow, and the last")
+		require.Equal(t, 4, w.runner.Lasting(), "three tasks of the older workflow and the last one must run")
 		w.leave(4)
 		w.play(heldWithin)
 		if rapid.Bool().Draw(t, "Short") {
@@ -124,12 +122,12 @@
 		}
 		w.cell.Cancel("slow", w.now, func(error) {})
 		w.play(8 * turnSpan)
-		require.True(t, w.runner.Runs(cottonlanding.TaskRef{Workflow: "last"}), "the room is for the one that was interrupted")
+		require.True(t, w.runner.Runs(cottonlanding.TaskRef{Workflow: "last"}), "the room must go to the interrupted task")
 	})
 }
 
-// TestHeldRoomIsReleased checks that a worker is free for others as soon
-// as the task for which it was kept waits no more.
+// TestHeldRoomIsReleased checks that a held worker is free for others as soon as the task for which it is held no
+// longer waits.
 func TestHeldRoomIsReleased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
@@ -137,12 +135,12 @@
 		w.cell.Cancel("large", w.now, func(error) {})
 		w.submit("b", "Urgent", short(cottonlanding.Millicores(rapid.IntRange(2750, 6000).Draw(t, "CPU"))))
 		w.play(4 * turnSpan)
-		require.Equal(t, 5, w.runner.Running(), "the short task has room on the worker that was kept")
+		require.Equal(t, 5, w.runner.Running(), "the short task must get the room that was held")
 	})
 }
 
-// TestHeldRoomGoesToLongestWaiting checks that a task takes the room that is
-// kept for it although another of its step, before it, has come to wait as well.
+// TestHeldRoomGoesToLongestWaiting checks that a task takes the room that is held for it although an earlier task of
+// its step has begun to wait as well.
 func TestHeldRoomGoesToLongestWaiting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
@@ -158,20 +156,20 @@
 		w.cell.Cancel("leaves", w.now, func(error) {})
 		w.submit("large", "Urgent", lasting(2, 0, 5000))
 		w.play(heldWithin)
-		require.Equal(t, 4, w.runner.Lasting(), "the first of two is on the first worker")
+		require.Equal(t, 4, w.runner.Lasting(), "the first of two tasks must run on the first worker")
 		w.workers[0].State = cottonlanding.Leaving
 		w.cell.SetWorkers(slices.Clone(w.workers), w.now)
 		w.play(cottonlanding.Millis(rapid.IntRange(200, 1000).Draw(t, "Later")))
-		require.Equal(t, 3, w.runner.Lasting(), "both wait")
+		require.Equal(t, 3, w.runner.Lasting(), "both tasks must wait")
 		w.cell.Cancel("slow0", w.now, func(error) {})
 		w.play(8 * turnSpan)
-		require.Equal(t, 4, w.runner.Lasting(), "the second has room on the worker that was kept for it")
+		require.Equal(t, 4, w.runner.Lasting(), "the second task must get the worker that is held for it")
 	})
 }
 
-// TestInterruptedTaskRegainsItsRoom plays workers that are full of lasting tasks, beside
-// which short ones wait: the room of a lasting task whose run has failed is not given to
-// those, or it would have to wait for as long as they last.
+// TestInterruptedTaskRegainsItsRoom guards against long interruptions on workers full of lasting tasks: the room of a
+// lasting task whose run failed must not go to short tasks that wait, or the lasting task would wait for as long as
+// they last.
 func TestInterruptedTaskRegainsItsRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
@@ -183,6 +181,6 @@
 		}
 		w.play(4 * cottonlanding.Second)
 		require.Equal(t, 10, w.runner.Lasting())
-		require.Equal(t, 12, w.runner.Running(), "two short ones had room")
+		require.Equal(t, 12, w.runner.Running(), "two short tasks must have room")
 	})
 }
--- a/internal/workflow/planner/lapse_test.go
+++ b/internal/workflow/planner/lapse_test.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// manyWorkflows are more than one plan takes.
+	// manyWorkflows is more workflows than one plan holds.
 	manyWorkflows = 100
 	// idleFor is longer than any lease.
 	idleFor = 10 * cottonlanding.Second
 )
 
-// TestPlacedRunOutlastsIdleLease: a worker that has been idle has no lease, and may hold back its answer for
-// seconds. A run that is placed there, and that isn't committed in the next turns since many others go before, isn't
-// taken for lost.
+// TestPlacedRunOutlastsIdleLease guards against false losses: an idle worker has no lease and may hold back its
+// answer for seconds. A run that is placed there and waits some turns for its commit behind many others must not
+// count as lost.
 func TestPlacedRunOutlastsIdleLease(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.labelAll()
@@ -43,8 +43,8 @@
 	w.requireState("behind", cottonlanding.WorkflowSucceeded)
 }
 
-// TestPlacedRunLeavesSilentWorker: a run that never went out waits for no worker that has fallen silent for longer than
-// any lease.
+// TestPlacedRunLeavesSilentWorker: a run that was never sent must not wait for a worker that has been silent for
+// longer than any lease.
 func TestPlacedRunLeavesSilentWorker(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(idleFor)
--- a/internal/workflow/planner/latestarts_test.go
+++ b/internal/workflow/planner/latestarts_test.go
@@ -10,13 +10,13 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// lateStart is a start that its worker carries out at an instant.
+// lateStart is a start that its worker executes at an instant.
 type lateStart struct {
 	at    cottonlanding.Millis
 	order planner.Order
 }
 
-// lateStartWorld plays a world whose workers carry starts out late and answer all else at once.
+// lateStartWorld plays a world whose workers execute starts late and answer everything else at once.
 type lateStartWorld struct {
 	*world
 	late    cottonlanding.Millis
@@ -47,8 +47,8 @@
 	p.pollAll()
 }
 
-// TestLastingTaskRunsDespiteLateStarts: a lasting task that left each worker which didn't tell of its start in time never ran where all of them
-// carried their orders out late.
+// TestLastingTaskRunsDespiteLateStarts guards against a lasting task that never runs because it leaves each worker
+// that doesn't confirm its start in time, while all workers execute their orders late.
 func TestLastingTaskRunsDespiteLateStarts(t *testing.T) {
 	for _, late := range []cottonlanding.Millis{1200, 2000, 3000} {
 		t.Run(late.String(), func(t *testing.T) {
@@ -56,7 +56,7 @@
 			p.crashForGood("w1")
 			lost := p.now
 			for p.runner.Lasting() < 4 || p.now-lost < cottonlanding.Second {
-				require.Less(t, p.now-lost, otherCellRestartTimeout+late, "what is late is no fault of the owner")
+				require.Less(t, p.now-lost, otherCellRestartTimeout+late, "only the delay of the start may be added")
 				p.turn()
 			}
 			require.Empty(t, p.runner.Violations())
@@ -64,8 +64,9 @@
 	}
 }
 
-// TestLeaseBoundsCoverNextLife: a start without an answer was taken by the next life of its worker, which cut its lease to the longest and fell
-// silent. The next owner went by a bound that was for the life before, and started the task once more beside it.
+// TestLeaseBoundsCoverNextLife guards against a double start: an unanswered start was taken by the worker's next
+// life, which cut its lease to the maximum and fell silent. The next owner used a lease bound of the previous life
+// and started the task beside that run.
 func TestLeaseBoundsCoverNextLife(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.timing.MaxLease = 10 * cottonlanding.Second
@@ -101,8 +102,9 @@
 	}
 }
 
-// TestNewOwnerKnowsDownSince: beside short tasks that take what gets free, a lasting task gets a worker that is kept for it by how long it is
-// down. Each new owner counted that anew.
+// TestNewOwnerKnowsDownSince guards against long downtimes across changes of owner: beside short tasks that take all
+// room, a worker is held for a lasting task depending on how long it has been down, and each new owner counted that
+// from zero.
 func TestNewOwnerKnowsDownSince(t *testing.T) {
 	for _, changes := range []int{0, 1, 2} {
 		t.Run(fmt.Sprintf("%d changes", changes), func(t *testing.T) {
--- a/internal/workflow/planner/leavingworker_test.go
+++ b/internal/workflow/planner/leavingworker_test.go
@@ -10,12 +10,12 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// unlist takes a worker off the list; it runs on.
+// unlist removes a worker from the list; the worker itself keeps running.
 func (w *world) unlist(number int) {
 	w.cell.SetWorkers(slices.Delete(slices.Clone(w.workers), number, number+1), w.now)
 }
 
-// requireOrdersElsewhere lets some turns pass in which a worker must get no order.
+// requireOrdersElsewhere plays some turns in which a worker must get no order.
 func (w *world) requireOrdersElsewhere(number int) {
 	for range 3 {
 		w.now += turnSpan
@@ -29,9 +29,8 @@
 	}
 }
 
-// TestUnlistedWorkerFinishesItsRuns plays a worker whose entry goes while it serves on, as
-// some do that never say that they are leaving: it gets nothing new, what it runs goes on
-// and ends there, and no task runs twice.
+// TestUnlistedWorkerFinishesItsRuns plays a worker whose list entry is removed while it continues, as some do without
+// announcing that they leave. It must get nothing new, its runs must end there, and no task may run twice.
 func TestUnlistedWorkerFinishesItsRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
@@ -55,8 +54,8 @@
 	})
 }
 
-// TestLeavingWorkerFinishesItsRuns plays a worker that has said that it is leaving: it gets
-// nothing new, and what ends by itself may do so there.
+// TestLeavingWorkerFinishesItsRuns plays a worker that has announced that it is leaving. It must get nothing new, and
+// runs that end on their own may do so there.
 func TestLeavingWorkerFinishesItsRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
--- a/internal/workflow/planner/life_test.go
+++ b/internal/workflow/planner/life_test.go
@@ -17,8 +17,9 @@
 	require.Equal(w.t, want, state, "workflow %s", id)
 }
 
-// TestCrashOfQuicklyRestartedWorkerCounts: a worker that is back under its id within one look
-// was never silent. A task that crashes it is given up all the same, and an innocent one isn't.
+// TestCrashOfQuicklyRestartedWorkerCounts guards against uncounted crashes: a worker that is back under its id
+// between two polls is never seen as silent. A task that crashes it must be given up all the same, and an innocent
+// task must not.
 func TestCrashOfQuicklyRestartedWorkerCounts(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.faultyTasks, w.crashAfter = map[cottonlanding.TaskRef]bool{firstTask("culprit"): true}, crashDelay
@@ -40,9 +41,8 @@
 	w.requireState("innocent", cottonlanding.WorkflowSucceeded)
 }
 
-// TestLostRunCountsOnce: a start that never reached its worker is ruled out in the next life, which ends
-// before that. One run has one loss, however many lives end meanwhile, and doesn't convict an
-// innocent task.
+// TestLostRunCountsOnce guards against counting one lost run several times: a start that never arrived is to be
+// stopped in the next life, which itself ends before that. However many lives end meanwhile, the run is one loss.
 func TestLostRunCountsOnce(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("innocent", "Urgent", quickOn("w1", 1))
@@ -58,9 +58,8 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestStartsToSilentWorkerWait: the lease of a start to a silent worker has passed by the clock
-// of the life that was known, and lasts for long by that of the next one. Its run would be given
-// up at once, and go on.
+// TestStartsToSilentWorkerWait guards against starts with an unusable lease: by the clock of the known life the lease
+// has expired, by that of the next life it lasts for long. The run would be given up at once while it goes on.
 func TestStartsToSilentWorkerWait(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
@@ -76,9 +75,9 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestWorkerIsUsedAfterItsLifeEnded: another worker answered at a worker's address, so that
-// its life is over while its entry stands. Once it is back under its id, with another birth or at
-// another address, it is used again.
+// TestWorkerIsUsedAfterItsLifeEnded guards against a worker that stays excluded: another worker answered at its
+// address, so that its life is over while its list entry remains. Once it is back under its id, with another birth or
+// another address, it must be used again.
 func TestWorkerIsUsedAfterItsLifeEnded(t *testing.T) {
 	for name, back := range map[string]func(*cottonlanding.WorkerInfo){
 		"another birth":                        func(info *cottonlanding.WorkerInfo) { info.Born += 1000 },
@@ -92,7 +91,7 @@
 			w.cell.PollFailed(next, cottonlanding.ErrOtherLife, w.now)
 			w.relist()
 			_, found = w.cell.NextPoll("w1", w.now)
-			require.False(t, found, "its entry stands for a while")
+			require.False(t, found, "its entry is still listed")
 			info := &w.workers[0]
 			back(info)
 			w.runner.Rebirth(info.ID, info.Address, info.Born)
@@ -105,8 +104,8 @@
 	}
 }
 
-// TestAnswerForEarlierLifeIsIgnored: an order that was under way to a life is answered by another
-// worker at its old address, after the next life is known elsewhere.
+// TestAnswerForEarlierLifeIsIgnored guards against ending the wrong life: after the next life is known at another
+// address, another worker answers at the old address to what was sent to the earlier life.
 func TestAnswerForEarlierLifeIsIgnored(t *testing.T) {
 	w := newWorldWithBirths(t)
 	next, _ := w.cell.NextPoll("w1", w.now)
@@ -120,10 +119,10 @@
 	require.True(t, found)
 }
 
-// TestNextLifeLeaseExpiresFirst: a start that was reckoned by the clock of a life reaches the
-// next one, whose clock is far behind, as a lease of the longest span that it takes. When the
-// worker falls silent then, its run isn't given up before that has passed, whether a look has shown
-// the next life or only the clock in the answer to the start.
+// TestNextLifeLeaseExpiresFirst guards against giving up runs too early: a start with a lease computed for one life
+// reaches the next one, whose clock is far behind and which cuts the lease to its maximum. If the worker then falls
+// silent, its run must not be given up before that lease has expired, whether a poll showed the next life or only the
+// clock in the answer to the start.
 func TestNextLifeLeaseExpiresFirst(t *testing.T) {
 	for name, looks := range map[string]bool{"a look has shown it": true, "only a clock": false} {
 		t.Run(name, func(t *testing.T) { testNextLifeLease(t, looks) })
@@ -155,11 +154,11 @@
 	w.play(longest + 3*cottonlanding.Second)
 	require.Empty(t, w.runner.Violations())
 	w.play(3 * cottonlanding.Second)
-	require.Greater(t, w.runner.Starts(), 4, "runs of silent workers are given up in the end")
+	require.Greater(t, w.runner.Starts(), 4, "runs of silent workers must be given up after their leases")
 }
 
-// TestLateStartReachesNextLife: a start without an answer is carried out by the next life, seconds
-// after its owner knows of that one. The task waits until that life has ruled the run out.
+// TestLateStartReachesNextLife guards against a double start: an unanswered start is executed by the next life
+// seconds after its owner learned of that life. The task must wait until that life has ruled out the run.
 func TestLateStartReachesNextLife(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("once", "Urgent", quick(1))
@@ -172,7 +171,7 @@
 	w.pollAll()
 	w.relist()
 	w.commit()
-	require.Zero(t, w.runner.Starts(), "the task waits")
+	require.Zero(t, w.runner.Starts(), "the task must wait until the run is ruled out")
 	_, _ = w.send(w.late[0])
 	w.late = nil
 	w.play(3 * cottonlanding.Second)
@@ -180,11 +179,9 @@
 	w.requireState("once", cottonlanding.WorkflowSucceeded)
 }
 
-// TestNextLifeAnswersOutOfOrder: in a soak of real processes with 200 workers, tasks were started
-// again while they ran on a worker that was back under its id. The next life had answered a
-// look before it took a start, and the answer to the start, which names no birth, came first. So
-// the owner took the run for one of the life before, which the answer to the look had
-// ended, and had nothing ruled out.
+// TestNextLifeAnswersOutOfOrder guards against a double start: the next life answers a poll before it takes a start,
+// and the answer to the start, which carries no birth, arrives first. The owner then took the run for one of the
+// previous life, which the poll answer had ended, and didn't have it stopped.
 func TestNextLifeAnswersOutOfOrder(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
@@ -211,8 +208,8 @@
 	w.requireState("slow", cottonlanding.WorkflowSucceeded)
 }
 
-// TestStopIsResentToNextLife: the answer to a stop comes when the next life is known, which has
-// taken none. It is told again, because a start may still come.
+// TestStopIsResentToNextLife guards against a start that arrives after all: the answer to a stop comes when the next
+// life is known, which has not been sent the stop.
 func TestStopIsResentToNextLife(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("once", "Urgent", quickOn("w1", 1))
@@ -233,9 +230,8 @@
 	require.Equal(t, w.workers[0].Life(), again[0].Worker.Life)
 }
 
-// TestNextOwnerFindsNextLife: the worker of a committed run has crashed and is back
-// while the owner changes. The run counts as lost with the life in its row, and the task runs
-// again under another number.
+// TestNextOwnerFindsNextLife covers a worker that crashes and is back while the owner changes. The run counts as lost
+// with the life in its row, and the task runs again under another number.
 func TestNextOwnerFindsNextLife(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
--- a/internal/workflow/planner/openlife_test.go
+++ b/internal/workflow/planner/openlife_test.go
@@ -8,8 +8,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestOpenLivesAreForgotten: an owner that waited for news of each worker that is gone for good would
-// keep all workflows that ever ran there.
+// TestOpenLivesAreForgotten guards against a leak: an owner that waited for the outcome of each worker that is gone
+// for good would keep all workflows that ever ran there.
 func TestOpenLivesAreForgotten(t *testing.T) {
 	w := newWorldWithBirths(t)
 	for _, id := range []cottonlanding.WorkflowID{"a", "b", "c"} {
--- a/internal/workflow/planner/restart_test.go
+++ b/internal/workflow/planner/restart_test.go
@@ -12,23 +12,23 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// firstBirth is the birth of the first life of every worker that is reborn.
+// firstBirth is the birth of the first life of every worker that reports births.
 const firstBirth cottonlanding.Birth = 1_750_000_000_000
 
-// quick is a step of tasks that run for a fraction of a second.
+// quick returns a step of tasks that run for a fraction of a second.
 func quick(tasks int) cottonlanding.Step {
 	return cottonlanding.Step{Tasks: tasks, Estimate: 300, Resources: cottonlanding.Resources{CPU: 1000, Memory: cottonlanding.Gigabyte}}
 }
 
-// quickOn is quick for tasks that quickOn a worker with a label may run.
+// quickOn is quick for tasks that only workers with a label may run.
 func quickOn(label cottonlanding.Label, tasks int) cottonlanding.Step {
 	step := quick(tasks)
 	step.Requires = label
 	return step
 }
 
-// restartWorker crashes a worker, which is back at once under its id and address and has written its
-// entry, with another birth.
+// restartWorker crashes a worker, which is back at once under its id and address with another birth and has written
+// its entry.
 func (w *world) restartWorker(number int) {
 	info := &w.workers[number]
 	if info.Born == 0 {
@@ -38,8 +38,8 @@
 	w.runner.Rebirth(info.ID, info.Address, info.Born)
 }
 
-// dropLateOrders forgets the late orders that were given to a life that has ended: the worker that
-// holds an order back loses it when it crashes.
+// dropLateOrders forgets the late orders that were given to an ended life, because a worker loses delayed orders when
+// it crashes.
 func (w *world) dropLateOrders() {
 	w.late = slices.DeleteFunc(w.late, func(order planner.Order) bool {
 		at := slices.IndexFunc(w.workers, func(info cottonlanding.WorkerInfo) bool { return info.ID == order.Worker.Life.Worker })
@@ -47,16 +47,16 @@
 	})
 }
 
-// relist tells the owner of the entries as they are by now.
+// relist publishes the current entries.
 func (w *world) relist() {
 	w.workers = append([]cottonlanding.WorkerInfo(nil), w.workers...)
 	w.cell.SetWorkers(w.workers, w.now)
 }
 
-// stableAfter is how long a life must have gone on for its end to tell something.
+// stableAfter is how long a life must have lasted for its end to count against a task.
 const stableAfter = 10 * cottonlanding.Second
 
-// newWorldWithBirths is a world whose workers tell their births, some time ago, each with a label that is its id.
+// newWorldWithBirths returns a world whose workers report births some time ago, each labelled with its id.
 func newWorldWithBirths(t require.TestingT) *world {
 	w := newSpreadWorld(t)
 	for at := range w.workers {
@@ -71,14 +71,10 @@
 	return w
 }
 
-// On a day on which a third of the workers crashed and were back within a second under the id
-// they had, two tasks were started again 0.2 s after they had been done, on one such worker, 1.1 s
-// after its return. It came about in this way: the owner keeps the number of the last end that
-// it has taken in by the worker's id; the next life numbers its ends from 1 again; the
-// owner passed over all up to the number of the old life, took the runs that were missing from
-// the list for gone and started their tasks again; and the number in its next look told the
-// worker that the ends were noted. The cause is a count that belongs to one life, kept under
-// the name of all of them. This test proves it, with one owner and no fault but the crash.
+// TestEndsOfNextLifeAreRecorded guards against starting tasks again that were done on a restarted worker. A worker
+// that crashes and is back under its id numbers its ends from 1 again. The owner kept the number of the last recorded
+// end by worker id, so that it skipped the ends of the new life, took the missing runs for gone and started their
+// tasks again, and its next poll told the worker that those ends were recorded.
 func TestEndsOfNextLifeAreRecorded(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quick(20))
@@ -93,13 +89,9 @@
 	require.Equal(t, cottonlanding.WorkflowSucceeded, state)
 }
 
-// On another such day two tasks could run at the end of the day and didn't, with most of the
-// room free; beside them others were started ten times and more on the same worker, each
-// time just after they were found to be gone. It came about as above: each repeat adds one end
-// to the list, so that a task is repeated until the numbers of the new life have caught up with
-// those of the old one, which takes minutes where little else is left to run. This test
-// proves that one cause suffices for both: a task which only one worker may run isn't done within
-// 10 s, in 40 starts.
+// TestTaskOnRestartedWorkerIsDone guards against starting a task again and again on a restarted worker, from the same
+// cause: each repeat adds one end, until the numbers of the new life have caught up with those of the previous one. A
+// task that only that worker may run wasn't done within 10 s, in 40 starts.
 func TestTaskOnRestartedWorkerIsDone(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 40))
@@ -117,9 +109,9 @@
 	require.Equal(t, 1, w.runner.Starts()-before)
 }
 
-// TestRestartsAmongFaults ends lives at random, which are back at once or later under their ids,
-// beside orders and answers that are lost or come late, silent workers, entries that are read
-// late and changes of owner. No task runs twice, and every accepted workflow ends.
+// TestRestartsAmongFaults ends lives at random, which are back under their ids at once or later, with lost and late
+// orders and answers, silent workers, entries that are read late and changes of owner. No task may run twice, and
+// every accepted workflow must end.
 func TestRestartsAmongFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorldWithBirths(t)
--- a/internal/workflow/planner/staleentry_test.go
+++ b/internal/workflow/planner/staleentry_test.go
@@ -9,9 +9,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestStaleListEntryIsHarmless: an entry of an earlier life that is read late ends nothing, one of a life
-// that hasn't answered yet doesn't either, and a worker gets no new task until its entry is of
-// the life that answers: it may be of another kind.
+// TestStaleListEntryIsHarmless guards against trusting list entries too much: an entry of an earlier life that is
+// read late ends nothing, nor does one of a life that hasn't answered yet. A worker gets no new task until its entry
+// describes the life that answers, because another life may differ in service or resources.
 func TestStaleListEntryIsHarmless(t *testing.T) {
 	w := newWorldWithBirths(t)
 	earlier := w.workers[0]
@@ -22,7 +22,7 @@
 	w.relist()
 	w.submit("slow", "Urgent", quickOn("w1", 1))
 	w.play(cottonlanding.Second)
-	require.Zero(t, w.runner.Starts(), "the entry is of the life before")
+	require.Zero(t, w.runner.Starts(), "the entry describes the previous life")
 	w.workers[0] = present
 	w.relist()
 	w.play(cottonlanding.Second)
@@ -32,16 +32,15 @@
 	w.submit("more", "Urgent", quickOn("w1", 1))
 	w.play(2 * cottonlanding.Second)
 	w.requireState("more", cottonlanding.WorkflowSucceeded)
-	w.workers[0].Born += 500 // of a life between, read late
+	w.workers[0].Born += 500 // of a life between the two, read late
 	w.relist()
 	w.play(cottonlanding.Second)
 	require.True(t, w.runner.Runs(firstTask("slow")))
-	require.Equal(t, 2, w.runner.Starts(), "the life that answers goes on")
+	require.Equal(t, 2, w.runner.Starts(), "the life that answers must keep its run")
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestClockRegressionShowsNextLife: where workers tell no births, a clock that has gone back tells of
-// another life.
+// TestClockRegressionShowsNextLife: where workers report no births, a clock that went back shows another life.
 func TestClockRegressionShowsNextLife(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -61,13 +60,12 @@
 	w.relist()
 	w.submit("late", "Urgent", quick(1))
 	w.play(2 * cottonlanding.Second)
-	require.Equal(t, starts, w.runner.Starts(), "entries are taken in as before")
+	require.Equal(t, starts, w.runner.Starts(), "entries must be applied as before")
 }
 
-// TestAnswersCrossingWithinMillisecond: a look is sent in the millisecond in which the answer to a
-// start comes, before it, and its own answer shows a clock that is 1 ms behind. Where workers tell no
-// births, that is no other life. It came about in a soak beside load: runs were given up and
-// started again while they went on.
+// TestAnswersCrossingWithinMillisecond guards against taking a sound life for ended: a poll is sent in the same
+// millisecond in which the answer to a start arrives, just before it, so that its own answer shows a clock 1 ms
+// behind. Without births, that looked like another life, and runs were given up and started again while they went on.
 func TestAnswersCrossingWithinMillisecond(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -91,8 +89,8 @@
 	require.Equal(t, 4, w.runner.Starts())
 }
 
-// TestPollAfterFailureIsPlain: after a look without an answer the next one carries neither a number of
-// an end nor a lease, since another life may take it.
+// TestPollAfterFailureIsPlain: the poll after a failed one carries neither acknowledged ends nor a lease, because
+// another life may take it.
 func TestPollAfterFailureIsPlain(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 3))
@@ -113,8 +111,8 @@
 	require.Positive(t, next.Look.LeaseUntil)
 }
 
-// TestEndIsAcknowledgedOnce: once a worker has been told which ends it may forget, the number
-// is not told again. A life that nobody has heard of yet would forget its own by it.
+// TestEndIsAcknowledgedOnce: once a worker was told which ends it may forget, the number isn't sent again. A life
+// that is still unknown would forget its own ends by it.
 func TestEndIsAcknowledgedOnce(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 1))
@@ -130,9 +128,9 @@
 	require.Equal(t, []uint64{1}, acknowledged)
 }
 
-// TestClockRegressionInStartAnswer: a worker crashes and is back between two looks, and the next life
-// answers a start. Its clock shows that, before a look tells it to forget ends by the numbers
-// of the life before. A clock that goes on casts none.
+// TestClockRegressionInStartAnswer guards against acknowledging the ends of the wrong life: a worker crashes and is
+// back between two polls, and the next life answers a start. Its clock must show that before a poll acknowledges ends
+// by the numbers of the previous life. A clock that goes on must not.
 func TestClockRegressionInStartAnswer(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 1))
@@ -144,7 +142,7 @@
 		w.decide(turnSpan)
 	}
 	next, _ := w.cell.NextPoll("w1", w.now)
-	require.Positive(t, next.Look.LeaseUntil, "no doubt while the clock goes on")
+	require.Positive(t, next.Look.LeaseUntil, "the life must stay confirmed while its clock goes on")
 	w.poll("w1", true) // lists the end of the short one
 	w.commit()
 	w.restartWorker(0)
@@ -157,8 +155,8 @@
 	require.Empty(t, w.runner.Violations())
 }
 
-// TestSimultaneousCrashesAreOuterCause: workers that crash together and are back at once were never silent.
-// Their crashes still speak for an outer cause: no innocent task is given up for three of them.
+// TestSimultaneousCrashesAreOuterCause guards against blaming tasks for an outer cause: workers that crash together
+// and are back at once were never silent, and three such crashes must not give up an innocent task.
 func TestSimultaneousCrashesAreOuterCause(t *testing.T) {
 	w := newWorldWithBirths(t)
 	for range 12 {
