--- a/blame.go
+++ b/blame.go
@@ -14,11 +14,11 @@
 	// entry was gone for good. A lease that ran out says only that owner and worker didn't reach each
 	// other.
 	LifeEnded bool
-	// Met says that this owner had answers of the life, so that it knows when it fell silent.
-	Met bool
-	// Began says that the worker told that it had begun the run: a start without an answer may never
+	// Answered says that this owner had answers of the life, so that it knows when it fell silent.
+	Answered bool
+	// StartConfirmed says that the worker told that it had begun the run: a start without an answer may never
 	// have reached it.
-	Began bool
+	StartConfirmed bool
 	// Recent says that the run began soon before the end, or that it may have.
 	Recent bool
 	// Outlived says that the worker listed the run for longer than a task needs that crashes the
@@ -26,15 +26,15 @@
 	Outlived bool
 	// StandsOut says that the run is one of the few that had just begun, or the only recent one.
 	StandsOut bool
-	// EndsAnyway says that the worker has ended lately without the task, or, for all that this owner
+	// Unstable says that the worker has ended lately without the task, or, for all that this owner
 	// knows, may have; or that it did so with the task, which the end of one worker twice doesn't prove.
-	EndsAnyway bool
+	Unstable bool
 	// Young says that the life had not gone on for long.
 	Young bool
 	// Leaving says that the life was about to end anyway.
 	Leaving bool
-	// OuterCause says that the policy finds a cause that has nothing to do with the task.
-	OuterCause bool
+	// ExternalCause says that the policy finds a cause that has nothing to do with the task.
+	ExternalCause bool
 }
 
 // Finding is what the loss of a run says of its task.
@@ -57,11 +57,11 @@
 
 // Finding decides what the loss proves. One loss never convicts; a policy and a bound say how many do.
 func (l RunLoss) Finding() Finding {
-	unexplained := l.Met && !l.EndsAnyway && !l.Leaving && !l.OuterCause && !(l.Outlived && l.Young)
+	unexplained := l.Answered && !l.Unstable && !l.Leaving && !l.ExternalCause && !(l.Outlived && l.Young)
 	switch {
 	case !l.LifeEnded || !l.Recent:
 		return NoProof
-	case unexplained && l.Began && l.StandsOut:
+	case unexplained && l.StartConfirmed && l.StandsOut:
 		return LikelyCrash
 	case unexplained || !l.Outlived:
 		return PossibleCrash
@@ -86,10 +86,10 @@
 	Record CrashRecord
 	// Finding is what this loss proves.
 	Finding Finding
-	// Alone says that no other run there is a suspect.
-	Alone bool
-	// Prompt says that the run had begun just before.
-	Prompt bool
+	// SoleSuspect says that no other run there is a suspect.
+	SoleSuspect bool
+	// JustStarted says that the run had begun just before.
+	JustStarted bool
 	// Crash is what is known of others at that time.
 	Crash CrashView
 }
@@ -100,8 +100,8 @@
 	// Blames reports whether the end of a life may count as a crash of the tasks there: no
 	// other cause is known for it.
 	Blames(crash CrashView) bool
-	// Convicts reports whether a task is given up after the loss of a worker.
-	Convicts(suspect SuspectView) bool
+	// GivesUp reports whether a task is given up after the loss of a worker.
+	GivesUp(suspect SuspectView) bool
 	// Isolates reports whether a task runs where nothing else begins at the same time, so
 	// that a further crash tells whether it was the cause.
 	Isolates(record CrashRecord) bool
--- a/checkpoint_test.go
+++ b/checkpoint_test.go
@@ -9,9 +9,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestCheckpointIsKeptWholeOrNotAtAll: a run that continues from a text with a piece replaced
+// TestCheckpointIsExact: a run that continues from a text with a piece replaced
 // doesn't continue its task's work.
-func TestCheckpointIsKeptWholeOrNotAtAll(t *testing.T) {
+func TestCheckpointIsExact(t *testing.T) {
 	longest := cottonlanding.Checkpoint(strings.Repeat("c", cottonlanding.MaxCheckpoint))
 	for _, text := range []cottonlanding.Checkpoint{"", "000003e8482de2d0", longest, "<\"\\\x00\u2028\U0001F33E>"} {
 		require.Equal(t, text, cottonlanding.NewCheckpoint(string(text)))
--- a/evacuation.go
+++ b/evacuation.go
@@ -15,13 +15,13 @@
 type Evacuations struct {
 	// ReadAt is as of when it is complete; zero says that nothing was read yet.
 	ReadAt Millis
-	// Ordered holds those in force.
-	Ordered map[DataCentre]Evacuation
+	// InForce holds those in force.
+	InForce map[DataCentre]Evacuation
 }
 
-// Cover reports whether nothing new may start in a data centre.
-func (e Evacuations) Cover(dataCentre DataCentre) bool {
-	_, found := e.Ordered[dataCentre]
+// Includes reports whether nothing new may start in a data centre.
+func (e Evacuations) Includes(dataCentre DataCentre) bool {
+	_, found := e.InForce[dataCentre]
 	return found
 }
 
--- a/hostlist.go
+++ b/hostlist.go
@@ -33,9 +33,9 @@
 // Life names the life that the list tells of.
 func (w WorkerInfo) Life() Life { return Life{w.ID, w.Born} }
 
-// WorkerMeaning is what the list says of a worker beyond that it lives. Two of them can be
+// WorkerAttributes is what the list says of a worker beyond that it lives. Two of them can be
 // compared.
-type WorkerMeaning struct {
+type WorkerAttributes struct {
 	born       Birth
 	address    Address
 	dataCentre DataCentre
@@ -45,9 +45,9 @@
 	labels     string
 }
 
-// Meaning returns what the list says of the worker beyond that it lives.
-func (w WorkerInfo) Meaning() WorkerMeaning {
-	return WorkerMeaning{
+// Attributes returns what the list says of the worker beyond that it lives.
+func (w WorkerInfo) Attributes() WorkerAttributes {
+	return WorkerAttributes{
 		born:       w.Born,
 		address:    w.Address,
 		dataCentre: w.DataCentre,
--- a/internal/discovery/discoverer/discoverer.go
+++ b/internal/discovery/discoverer/discoverer.go
@@ -153,7 +153,7 @@
 		}
 		delete(d.refused, id)
 		delete(d.vanished, id)
-		if old, listed := d.workers[id]; !listed || old.Meaning() != info.Meaning() {
+		if old, listed := d.workers[id]; !listed || old.Attributes() != info.Attributes() {
 			d.workers[id] = info
 			changed = true
 		}
--- a/internal/operators/recorder/recorder.go
+++ b/internal/operators/recorder/recorder.go
@@ -46,7 +46,7 @@
 func (r *Recorder) Take(news cottonlanding.FeedReading) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ordered := maps.Clone(r.current.Ordered)
+	ordered := maps.Clone(r.current.InForce)
 	if ordered == nil {
 		ordered = make(map[cottonlanding.DataCentre]cottonlanding.Evacuation)
 	}
@@ -65,13 +65,13 @@
 		r.note(ordered, dataCentre, row.Version, !row.Deleted)
 	}
 	if news.Whole {
-		for dataCentre := range r.current.Ordered {
+		for dataCentre := range r.current.InForce {
 			if !named[dataCentre] {
 				r.note(ordered, dataCentre, news.Version, false)
 			}
 		}
 	}
-	r.current = cottonlanding.Evacuations{ReadAt: max(r.current.ReadAt, news.At), Ordered: ordered}
+	r.current = cottonlanding.Evacuations{ReadAt: max(r.current.ReadAt, news.At), InForce: ordered}
 }
 
 // note takes in whether a data centre is evacuated as of a version.
--- a/internal/operators/recorder/recorder_test.go
+++ b/internal/operators/recorder/recorder_test.go
@@ -29,7 +29,7 @@
 // versions returns which evacuations are in force, and as of which versions.
 func versions(r *recorder.Recorder) map[cottonlanding.DataCentre]cottonlanding.Version {
 	out := make(map[cottonlanding.DataCentre]cottonlanding.Version)
-	for dataCentre, evacuation := range r.Current().Ordered {
+	for dataCentre, evacuation := range r.Current().InForce {
 		out[dataCentre] = evacuation.Version
 	}
 	return out
@@ -47,7 +47,7 @@
 		At:   5, Version: 3, Whole: true,
 	})
 	require.Equal(t, inForce{"x": 2, "y": 3}, versions(r))
-	require.Equal(t, cottonlanding.Evacuation{DataCentre: "x", Version: 2, KnownAt: now}, r.Current().Ordered["x"])
+	require.Equal(t, cottonlanding.Evacuation{DataCentre: "x", Version: 2, KnownAt: now}, r.Current().InForce["x"])
 	r.Take(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{takenBack("out/x", 4)}, Version: 4})
 	require.Equal(t, inForce{"y": 3}, versions(r))
 	require.Equal(t, cottonlanding.Millis(5), r.Current().ReadAt, "there may have been more to read")
--- a/internal/placement/scheduler/cell.go
+++ b/internal/placement/scheduler/cell.go
@@ -69,7 +69,7 @@
 type Rules struct {
 	Placement cottonlanding.PlacementPolicy
 	Eviction  cottonlanding.EvictionPolicy
-	Admission cottonlanding.AdmissionOrder
+	Admission cottonlanding.AdmissionPolicy
 	Limits    cottonlanding.Limits
 	Teams     []cottonlanding.TeamQuota
 	// Evacuated lists the data centres in which nothing starts.
--- a/internal/policy/blamer/blamer.go
+++ b/internal/policy/blamer/blamer.go
@@ -12,13 +12,13 @@
 // Catalog holds the variants.
 var Catalog = cataloger.Catalog[cottonlanding.BlamePolicy]{
 	"count": func() cottonlanding.BlamePolicy { return Count{} },
-	"apart": func() cottonlanding.BlamePolicy { return Apart{} },
+	"apart": func() cottonlanding.BlamePolicy { return Isolation{} },
 	"fair":  func() cottonlanding.BlamePolicy { return Fair{} },
 }
 
-// mostCounted is how many crashes the plain count allows: none is started once more after
+// maxLosses is how many crashes the plain count allows: none is started once more after
 // three, where two more starts would be allowed.
-const mostCounted = 3
+const maxLosses = 3
 
 // Count gives up each task under which three workers have crashed, the plain baseline.
 type Count struct{}
@@ -26,9 +26,9 @@
 // Blames implements cottonlanding.BlamePolicy.
 func (Count) Blames(cottonlanding.CrashView) bool { return true }
 
-// Convicts implements cottonlanding.BlamePolicy.
-func (Count) Convicts(suspect cottonlanding.SuspectView) bool {
-	return suspect.Record.Losses >= mostCounted
+// GivesUp implements cottonlanding.BlamePolicy.
+func (Count) GivesUp(suspect cottonlanding.SuspectView) bool {
+	return suspect.Record.Losses >= maxLosses
 }
 
 // Isolates implements cottonlanding.BlamePolicy.
--- a/internal/policy/blamer/blamer_test.go
+++ b/internal/policy/blamer/blamer_test.go
@@ -9,8 +9,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/blamer"
 )
 
-// TestOuterCausesBlameNobody gives crashes as an owner of 24 workers in racks of four sees them.
-func TestOuterCausesBlameNobody(t *testing.T) {
+// TestExternalCauses gives crashes as an owner of 24 workers in racks of four sees them.
+func TestExternalCauses(t *testing.T) {
 	alone := cottonlanding.CrashView{Rack: 3, Workers: 23}
 	for name, c := range map[string]struct {
 		change func(*cottonlanding.CrashView)
@@ -33,27 +33,27 @@
 	}
 }
 
-// TestOnlyWhoWasAloneIsConvicted goes through what a suspect may be told by.
-func TestOnlyWhoWasAloneIsConvicted(t *testing.T) {
+// TestGivesUpSoleSuspects goes through what a suspect may be told by.
+func TestGivesUpSoleSuspects(t *testing.T) {
 	record := func(crashes int) cottonlanding.CrashRecord {
 		return cottonlanding.CrashRecord{Losses: crashes, Crashes: crashes}
 	}
 	for name, c := range map[string]struct {
 		suspect cottonlanding.SuspectView
-		guilty  bool
+		givenUp bool
 	}{
-		"first crash":               {cottonlanding.SuspectView{Record: record(1), Finding: cottonlanding.LikelyCrash, Alone: true, Prompt: true}, false},
-		"second, alone and prompt":  {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, Alone: true, Prompt: true}, true},
-		"second, while others fall": {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, Alone: true, Prompt: true, Crash: cottonlanding.CrashView{Workers: 23, Silent: 6}}, false},
-		"third, while others fall":  {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.LikelyCrash, Alone: true, Prompt: true, Crash: cottonlanding.CrashView{Workers: 23, Silent: 6}}, true},
-		"second, alone and late":    {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, Alone: true}, false},
-		"third, alone and late":     {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.LikelyCrash, Alone: true}, true},
-		"fourth, among others":      {cottonlanding.SuspectView{Record: record(4), Finding: cottonlanding.LikelyCrash, Prompt: true}, false},
-		"third, not blamed":         {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.PossibleCrash, Alone: true, Prompt: true}, false},
+		"first crash":               {cottonlanding.SuspectView{Record: record(1), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true}, false},
+		"second, alone and prompt":  {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true}, true},
+		"second, while others fall": {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true, Crash: cottonlanding.CrashView{Workers: 23, Silent: 6}}, false},
+		"third, while others fall":  {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true, Crash: cottonlanding.CrashView{Workers: 23, Silent: 6}}, true},
+		"second, alone and late":    {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, SoleSuspect: true}, false},
+		"third, alone and late":     {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.LikelyCrash, SoleSuspect: true}, true},
+		"fourth, among others":      {cottonlanding.SuspectView{Record: record(4), Finding: cottonlanding.LikelyCrash, JustStarted: true}, false},
+		"third, not blamed":         {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.PossibleCrash, SoleSuspect: true, JustStarted: true}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, c.guilty, blamer.Fair{}.Convicts(c.suspect))
-			require.Equal(t, c.suspect.Record.Losses >= 3, blamer.Count{}.Convicts(c.suspect))
+			require.Equal(t, c.givenUp, blamer.Fair{}.GivesUp(c.suspect))
+			require.Equal(t, c.suspect.Record.Losses >= 3, blamer.Count{}.GivesUp(c.suspect))
 		})
 	}
 	require.False(t, blamer.Fair{}.Isolates(cottonlanding.CrashRecord{Losses: 1}))
--- a/internal/policy/blamer/fair.go
+++ b/internal/policy/blamer/fair.go
@@ -3,21 +3,21 @@
 import "github.com/cottonlanding/cottonlanding"
 
 const (
-	// unprovokedCrashes is how many workers that had begun nothing must fall silent at the
+	// minUnprovokedWorkers is how many workers that had begun nothing must fall silent at the
 	// same time for an outer cause to be believed. One may be any fault.
-	unprovokedCrashes = 2
-	// leastSilent is how many workers must fall silent together for half of all to mean
+	minUnprovokedWorkers = 2
+	// minSilentWorkers is how many workers must fall silent together for half of all to mean
 	// anything: a small cell has few.
-	leastSilent = 2
+	minSilentWorkers = 2
 )
 
 // Fair is Apart, but for losses with an outer cause, which count against nobody: workers
 // without a culprit fall silent at the same time, a whole rack does, or half of all do.
-type Fair struct{ Apart }
+type Fair struct{ Isolation }
 
 // Blames implements cottonlanding.BlamePolicy.
 func (Fair) Blames(crash cottonlanding.CrashView) bool {
 	rackLost := crash.Rack > 0 && 4*crash.RackSilent >= 3*crash.Rack
-	mostSilent := crash.Silent >= leastSilent && 2*crash.Silent >= crash.Workers
-	return crash.Unprovoked < unprovokedCrashes && !rackLost && !mostSilent
+	majoritySilent := crash.Silent >= minSilentWorkers && 2*crash.Silent >= crash.Workers
+	return crash.Unprovoked < minUnprovokedWorkers && !rackLost && !majoritySilent
 }
--- a/internal/policy/delegator/delegator_test.go
+++ b/internal/policy/delegator/delegator_test.go
@@ -9,9 +9,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/delegator"
 )
 
-// TestTasksOfALostRackAreSpreadByRoom has a full cell delegate what a rack has lost, beside cells with much room, with
+// TestDelegatesByFreeCapacity has a full cell delegate what a rack has lost, beside cells with much room, with
 // little and with none.
-func TestTasksOfALostRackAreSpreadByRoom(t *testing.T) {
+func TestDelegatesByFreeCapacity(t *testing.T) {
 	const tasks = 400
 	cells := []cottonlanding.CellView{{Cell: 1, Usable: true, Free: 0.6}, {Cell: 2, Usable: true, Free: 0.2}, {Cell: 3, Usable: true, Free: -0.1}}
 	got := make(map[cottonlanding.CellNumber]int)
--- a/internal/policy/evictor/leastlost.go
+++ b/internal/policy/evictor/leastlost.go
@@ -15,7 +15,7 @@
 func (LeastLost) Order(victims []cottonlanding.TaskView) {
 	slices.SortFunc(victims, func(a, b cottonlanding.TaskView) int {
 		return cmp.Or(
-			cmp.Compare(lost(a), lost(b)),
+			cmp.Compare(lostWork(a), lostWork(b)),
 			cmp.Compare(a.Evictions, b.Evictions),
 			cmp.Compare(a.ID.Job, b.ID.Job),
 			cmp.Compare(a.ID.Index, b.ID.Index),
@@ -23,6 +23,6 @@
 	})
 }
 
-func lost(task cottonlanding.TaskView) int64 {
+func lostWork(task cottonlanding.TaskView) int64 {
 	return int64(task.Ran) * int64(task.Resources.CPU)
 }
--- a/internal/policy/mixer/mixer.go
+++ b/internal/policy/mixer/mixer.go
@@ -40,7 +40,7 @@
 	var out []int
 	least := 0
 	for i, w := range workers {
-		switch lost := w.Bears - w.BearsAfter; {
+		switch lost := w.Tolerated - w.ToleratedAfter; {
 		case len(out) == 0 || lost < least:
 			out, least = []int{i}, lost
 		case lost == least:
--- a/internal/policy/mixer/mixer_test.go
+++ b/internal/policy/mixer/mixer_test.go
@@ -9,8 +9,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/mixer"
 )
 
-func TestLeastLostPicksWorkersThatAreOfLittleUse(t *testing.T) {
-	workers := []cottonlanding.MixView{{Bears: 6, BearsAfter: 2}, {Bears: 1, BearsAfter: 0}, {Bears: 5, BearsAfter: 4}}
+func TestLeastLostNarrowsToFewestLost(t *testing.T) {
+	workers := []cottonlanding.MixView{{Tolerated: 6, ToleratedAfter: 2}, {Tolerated: 1, ToleratedAfter: 0}, {Tolerated: 5, ToleratedAfter: 4}}
 	require.Equal(t, []int{1, 2}, mixer.LeastLost{}.Narrow(workers))
 	require.Equal(t, []int{0, 1, 2}, mixer.Anywhere{}.Narrow(workers))
 }
--- a/internal/policy/orderer/fifo.go
+++ b/internal/policy/orderer/fifo.go
@@ -12,10 +12,10 @@
 
 // Order implements cottonlanding.AdmissionOrder.
 func (FIFO) Order(queued []cottonlanding.TaskView, _ []cottonlanding.TeamUsage) {
-	slices.SortFunc(queued, byWaiting)
+	slices.SortFunc(queued, compareQueued)
 }
 
-func byWaiting(a, b cottonlanding.TaskView) int {
+func compareQueued(a, b cottonlanding.TaskView) int {
 	return cmp.Or(
 		cmp.Compare(a.Queued, b.Queued),
 		cmp.Compare(a.ID.Job, b.ID.Job),
--- a/internal/policy/orderer/orderer.go
+++ b/internal/policy/orderer/orderer.go
@@ -10,7 +10,7 @@
 const Fallback = "fifo"
 
 // Catalog holds the variants.
-var Catalog = cataloger.Catalog[cottonlanding.AdmissionOrder]{
-	"fifo":       func() cottonlanding.AdmissionOrder { return FIFO{} },
-	"leastshare": func() cottonlanding.AdmissionOrder { return LeastShare{} },
+var Catalog = cataloger.Catalog[cottonlanding.AdmissionPolicy]{
+	"fifo":       func() cottonlanding.AdmissionPolicy { return FIFO{} },
+	"leastshare": func() cottonlanding.AdmissionPolicy { return LeastShare{} },
 }
--- a/internal/policy/placer/pack.go
+++ b/internal/policy/placer/pack.go
@@ -13,7 +13,7 @@
 func (Pack) Place(task cottonlanding.TaskView, candidates []cottonlanding.WorkerView) int {
 	best, least := cottonlanding.NoWorker, 0.0
 	for i, candidate := range candidates {
-		free := share(int64(candidate.Free.CPU+task.Resources.CPU), int64(candidate.Capacity.CPU))
+		free := ratio(int64(candidate.Free.CPU+task.Resources.CPU), int64(candidate.Capacity.CPU))
 		if best == cottonlanding.NoWorker || free < least {
 			best, least = i, free
 		}
--- a/internal/policy/placer/pack_test.go
+++ b/internal/policy/placer/pack_test.go
@@ -22,8 +22,8 @@
 	return out
 }
 
-// left places tasks one after the other where they fit, and returns the largest room left.
-func left(policy cottonlanding.PlacementPolicy, views []cottonlanding.WorkerView, tasks int, cpu cottonlanding.Millicores) cottonlanding.Millicores {
+// largestFreeAfter places tasks one after the other where they fit, and returns the largest room largestFreeAfter.
+func largestFreeAfter(policy cottonlanding.PlacementPolicy, views []cottonlanding.WorkerView, tasks int, cpu cottonlanding.Millicores) cottonlanding.Millicores {
 	task := cottonlanding.TaskView{Resources: cottonlanding.Resources{CPU: cpu}}
 	for range tasks {
 		var at []int
@@ -42,12 +42,12 @@
 	return largest
 }
 
-// TestPackKeepsLargeRooms plays workers with 2 to 14 free cores, as lasting tasks leave
+// TestPackLimitsFragmentation plays workers with 2 to 14 free cores, as lasting tasks leave
 // them, and short tasks of 3 cores: a task of 12 cores still finds its room.
-func TestPackKeepsLargeRooms(t *testing.T) {
+func TestPackLimitsFragmentation(t *testing.T) {
 	free := []cottonlanding.Millicores{4000, 6000, 13_000, 3500, 14_000, 5000, 2000, 6500}
-	require.GreaterOrEqual(t, left(placer.Pack{}, workers(free...), 5, 3000), cottonlanding.Millicores(12_000))
-	require.Less(t, left(placer.Spread{}, workers(free...), 5, 3000), cottonlanding.Millicores(12_000), "the baseline breaks all")
+	require.GreaterOrEqual(t, largestFreeAfter(placer.Pack{}, workers(free...), 5, 3000), cottonlanding.Millicores(12_000))
+	require.Less(t, largestFreeAfter(placer.Spread{}, workers(free...), 5, 3000), cottonlanding.Millicores(12_000), "the baseline breaks all")
 }
 
 func TestPackPrefersLargeWorkers(t *testing.T) {
--- a/internal/policy/placer/spread.go
+++ b/internal/policy/placer/spread.go
@@ -10,24 +10,24 @@
 	best, lowest := cottonlanding.NoWorker, 0.0
 	for i, candidate := range candidates {
 		used := candidate.Capacity.Minus(candidate.Free).Plus(task.Resources)
-		fill := fullest(used, candidate.Capacity)
-		if best == cottonlanding.NoWorker || fill < lowest {
-			best, lowest = i, fill
+		utilization := maxUtilization(used, candidate.Capacity)
+		if best == cottonlanding.NoWorker || utilization < lowest {
+			best, lowest = i, utilization
 		}
 	}
 	return best
 }
 
-// fullest returns the highest share of any resource that is in use.
-func fullest(used, capacity cottonlanding.Resources) float64 {
+// maxUtilization returns the highest share of any resource that is in use.
+func maxUtilization(used, capacity cottonlanding.Resources) float64 {
 	return max(
-		share(int64(used.CPU), int64(capacity.CPU)),
-		share(int64(used.Memory), int64(capacity.Memory)),
-		share(int64(used.Accelerators), int64(capacity.Accelerators)),
+		ratio(int64(used.CPU), int64(capacity.CPU)),
+		ratio(int64(used.Memory), int64(capacity.Memory)),
+		ratio(int64(used.Accelerators), int64(capacity.Accelerators)),
 	)
 }
 
-func share(used, capacity int64) float64 {
+func ratio(used, capacity int64) float64 {
 	if capacity <= 0 {
 		return 0
 	}
--- a/internal/policy/ranker/ranker.go
+++ b/internal/policy/ranker/ranker.go
@@ -26,22 +26,22 @@
 	inTime = iota
 	// late ones can't, and are still of some use.
 	late
-	// lost ones are of none; they are done with what is left.
-	lost
+	// expired ones are of none; they are done with what is left.
+	expired
 )
 
-// lostAfter is how many times its objective a workflow may take to be of any use. Source:
+// expiredFactor is how many times its objective a workflow may take to be of any use. Source:
 // the users count nothing that takes longer.
-const lostAfter = 3
+const expiredFactor = 3
 
 func classOf(view cottonlanding.RankView) int {
 	switch {
 	case view.Objective <= 0 || view.Slack >= 0:
 		return inTime
-	case view.Age+view.ChainLeft <= lostAfter*view.Objective:
+	case view.Age+view.ChainLeft <= expiredFactor*view.Objective:
 		return late
 	}
-	return lost
+	return expired
 }
 
 // Arrival serves workflows in the order in which they came, but those that are late last,
@@ -65,11 +65,11 @@
 // The worth of a workflow, in parts of that of the mean one of its queue. Source: what the
 // users say of theirs.
 const (
-	// flatWorth is that of any workflow, workWorth that of the mean work.
-	flatWorth = 0.3
-	workWorth = 0.7
-	// mostWorth bounds the sum.
-	mostWorth = 4
+	// baseWorth is that of any workflow, workWorth that of the mean work.
+	baseWorth     = 0.3
+	meanWorkWorth = 0.7
+	// maxWorth bounds the sum.
+	maxWorth = 4
 )
 
 // Worth serves those first that are worth the most for the work that is left of them. What
@@ -79,6 +79,6 @@
 
 // Rank implements cottonlanding.RankingPolicy.
 func (Worth) Rank(view cottonlanding.RankView) cottonlanding.Rank {
-	worth := min(flatWorth*view.MeanWork+workWorth*view.Work, mostWorth*view.MeanWork)
+	worth := min(baseWorth*view.MeanWork+meanWorkWorth*view.Work, maxWorth*view.MeanWork)
 	return cottonlanding.Rank{Class: classOf(view), Score: view.Left / max(worth, 1)}
 }
--- a/internal/policy/ranker/ranker_test.go
+++ b/internal/policy/ranker/ranker_test.go
@@ -15,11 +15,11 @@
 
 // workflow is one of a queue that is served by a thousand processors.
 type workflow struct {
-	came       cottonlanding.Millis
+	arrivedAt  cottonlanding.Millis
 	work, left float64
-	// drag is how much longer it takes than its estimates say: until its last task, which
+	// delay is how much longer it takes than its estimates say: until its last task, which
 	// had to be moved or run again, is done.
-	drag   cottonlanding.Millis
+	delay  cottonlanding.Millis
 	doneAt cottonlanding.Millis
 }
 
@@ -27,13 +27,13 @@
 	// processors serve a workflow with up to width of them at a time, each step takes span.
 	processors = 1000
 	width      = 20
-	span       = 100 * cottonlanding.Millis(1)
+	tick       = 100 * cottonlanding.Millis(1)
 	meanWork   = width * 2200.0
-	mostDrag   = 4 * cottonlanding.Second
+	maxDelay   = 4 * cottonlanding.Second
 	// An objective is stretch times the chain of work, and target more.
-	stretch  = 2
-	target   = 6 * cottonlanding.Second
-	dayLasts = 60 * cottonlanding.Second
+	stretch   = 2
+	target    = 6 * cottonlanding.Second
+	dayLength = 60 * cottonlanding.Second
 )
 
 func (w *workflow) objective() cottonlanding.Millis {
@@ -45,26 +45,26 @@
 func overload(load float64) []*workflow {
 	random := rand.New(rand.NewPCG(1, 2))
 	var out []*workflow
-	for at := cottonlanding.Millis(0); at < dayLasts; at += cottonlanding.Millis(meanWork / processors / load) {
+	for at := cottonlanding.Millis(0); at < dayLength; at += cottonlanding.Millis(meanWork / processors / load) {
 		work := meanWork * math.Exp(random.NormFloat64()*0.6-0.18)
-		out = append(out, &workflow{came: at, work: work, left: work, drag: cottonlanding.Millis(random.Int64N(int64(mostDrag)))})
+		out = append(out, &workflow{arrivedAt: at, work: work, left: work, delay: cottonlanding.Millis(random.Int64N(int64(maxDelay)))})
 	}
 	return out
 }
 
-// serve plays a day by a policy, and returns which part of the worth was done in its time, and
+// simulate plays a day by a policy, and returns which part of the worth was done in its time, and
 // the same of the largest tenth.
-func serve(policy cottonlanding.RankingPolicy, day []*workflow) (all, largest float64) {
-	for now := cottonlanding.Millis(0); now < 3*dayLasts; now += span {
+func simulate(policy cottonlanding.RankingPolicy, day []*workflow) (all, largest float64) {
+	for now := cottonlanding.Millis(0); now < 3*dayLength; now += tick {
 		var open []*workflow
 		for _, w := range day {
-			if w.came <= now && w.left > 0 {
+			if w.arrivedAt <= now && w.left > 0 {
 				open = append(open, w)
 			}
 		}
 		rank := func(w *workflow) cottonlanding.Rank {
 			chain := cottonlanding.Millis(w.left / width)
-			age := now - w.came
+			age := now - w.arrivedAt
 			return policy.Rank(cottonlanding.RankView{Age: age, Objective: w.objective(), ChainLeft: chain, Slack: w.objective() - age - chain,
 				Work: w.work, Left: w.left, MeanWork: meanWork})
 		}
@@ -76,54 +76,54 @@
 			if at*width >= processors {
 				break
 			}
-			if w.left -= width * float64(span); w.left <= 0 {
-				w.doneAt = now + span + w.drag
+			if w.left -= width * float64(tick); w.left <= 0 {
+				w.doneAt = now + tick + w.delay
 			}
 		}
 	}
 	slices.SortFunc(day, func(a, b *workflow) int { return cmp.Compare(b.work, a.work) })
-	return earned(day), earned(day[:len(day)/10])
+	return worthInTime(day), worthInTime(day[:len(day)/10])
 }
 
-func earned(day []*workflow) float64 {
+func worthInTime(day []*workflow) float64 {
 	sum, most := 0.0, 0.0
 	for _, w := range day {
 		worth := min(0.3+0.7*w.work/meanWork, 4)
 		most += worth
-		if w.doneAt > 0 && w.doneAt-w.came <= w.objective() {
+		if w.doneAt > 0 && w.doneAt-w.arrivedAt <= w.objective() {
 			sum += worth
 		}
 	}
 	return sum / most
 }
 
-// TestWorthServesMoreOfAnOverload: with a third as much work again as can be done, serving in the
+// TestWorthUnderOverload: with a third as much work again as can be done, serving in the
 // order of arrival begins each workflow when its estimates leave it no slack, so that whatever
 // holds it up makes it late. By worth more is done in its time, and the largest workflows aren't
 // given up for it as they are by least work left.
-func TestWorthServesMoreOfAnOverload(t *testing.T) {
-	arrival, _ := serve(ranker.Arrival{}, overload(1.33))
-	left, largestLeft := serve(ranker.LeastLeft{}, overload(1.33))
-	worth, largestWorth := serve(ranker.Worth{}, overload(1.33))
+func TestWorthUnderOverload(t *testing.T) {
+	arrival, _ := simulate(ranker.Arrival{}, overload(1.33))
+	left, largestLeft := simulate(ranker.LeastLeft{}, overload(1.33))
+	worth, largestWorth := simulate(ranker.Worth{}, overload(1.33))
 	t.Logf("arrival %.3f, least left %.3f (largest %.3f), worth %.3f (largest %.3f)", arrival, left, largestLeft, worth, largestWorth)
 	require.Greater(t, worth, arrival+0.1)
 	require.Greater(t, worth, left-0.02)
 	require.GreaterOrEqual(t, largestWorth, largestLeft)
 }
 
-// TestAllIsDoneInTimeWhereThereIsRoom: the policies are alike where nothing has to wait.
-func TestAllIsDoneInTimeWhereThereIsRoom(t *testing.T) {
+// TestLightLoadMeetsObjectives: the policies are alike where nothing has to wait.
+func TestLightLoadMeetsObjectives(t *testing.T) {
 	for _, name := range ranker.Catalog.Names() {
 		policy, _ := ranker.Catalog.Get(name)
-		all, largest := serve(policy, overload(0.5))
+		all, largest := simulate(policy, overload(0.5))
 		require.Greater(t, all, 0.99, name)
 		require.Greater(t, largest, 0.99, name)
 	}
 }
 
-// TestLostGoLast: what is of no use any more comes after what is late, and that after what can
+// TestExpiredRankLast: what is of no use any more comes after what is late, and that after what can
 // still be done in its time, by every policy but the baseline, which knows late ones alone.
-func TestLostGoLast(t *testing.T) {
+func TestExpiredRankLast(t *testing.T) {
 	const objective = 10 * cottonlanding.Second
 	at := func(age cottonlanding.Millis) cottonlanding.RankView {
 		return cottonlanding.RankView{Age: age, Objective: objective, ChainLeft: 1000, Slack: objective - age - 1000, Work: 9, Left: 1, MeanWork: 9}
--- a/internal/policy/referrer/byimage.go
+++ b/internal/policy/referrer/byimage.go
@@ -9,10 +9,10 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// reserve is the part of a cell's processors that serving workflows leave free as long as
+// minFree is the part of a cell's processors that serving workflows leave free as long as
 // another cell has as much. Short tasks use a tenth; and where serving tasks hold more than
 // four fifths, images meet on most workers: 0 to 57 of 220 at 63 to 80 %, 150 at 92 %.
-const reserve = 0.22
+const minFree = 0.22
 
 // ByImage keeps the serving workflows of one image in one cell while that has room, and
 // refers all others by room. Its load is sixteen serving images whose tasks fill four
@@ -35,11 +35,11 @@
 		return 0, false
 	}
 	slices.SortFunc(all, func(a, b cottonlanding.CellView) int {
-		return cmp.Or(cmp.Compare(rank(image, b.Cell), rank(image, a.Cell)), cmp.Compare(a.Cell, b.Cell))
+		return cmp.Or(cmp.Compare(rendezvousHash(image, b.Cell), rendezvousHash(image, a.Cell)), cmp.Compare(a.Cell, b.Cell))
 	})
 	chosen := all[0]
 	for _, view := range all {
-		if view.Free >= reserve {
+		if view.Free >= minFree {
 			chosen = view
 			break
 		}
@@ -50,8 +50,8 @@
 	return chosen.Cell, chosen.Cell != home.Cell
 }
 
-// rank orders the cells for an image, the same way at every home.
-func rank(image cottonlanding.Image, cell cottonlanding.CellNumber) uint64 {
+// rendezvousHash orders the cells for an image, the same way at every home.
+func rendezvousHash(image cottonlanding.Image, cell cottonlanding.CellNumber) uint64 {
 	return xxhash.Sum64String(string(image) + "@" + cell.String())
 }
 
--- a/internal/policy/referrer/byroom.go
+++ b/internal/policy/referrer/byroom.go
@@ -8,9 +8,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// margin is how much more room another cell must have, as a part of its workers. What is
+// minAdvantage is how much more room another cell must have, as a part of its workers. What is
 // known of others is half a second old, in which work for about as much comes and goes.
-const margin = 0.05
+const minAdvantage = 0.05
 
 // ByRoom refers workflows to cells with more room than their home. Its load is lasting
 // workflows that fill four fifths of the workers: by their ids alone, a fifth more of them
@@ -24,8 +24,8 @@
 func (ByRoom) Refer(workflow cottonlanding.Workflow, home cottonlanding.CellView, others []cottonlanding.CellView) (cottonlanding.CellNumber, bool) {
 	weights, sum := make([]float64, len(others)), 0.0
 	for at, other := range others {
-		if more := roomFor(workflow, other) - roomFor(workflow, home); other.Usable && (more > margin || !home.Usable) {
-			weights[at] = max(more, margin)
+		if advantage := roomFor(workflow, other) - roomFor(workflow, home); other.Usable && (advantage > minAdvantage || !home.Usable) {
+			weights[at] = max(advantage, minAdvantage)
 			sum += weights[at]
 		}
 	}
@@ -33,7 +33,7 @@
 		return 0, false
 	}
 	if home.Usable {
-		sum += margin
+		sum += minAdvantage
 	}
 	draw := sum * float64(xxhash.Sum64String("refer "+string(workflow.ID))) / math.MaxUint64
 	for at, weight := range weights {
--- a/internal/policy/referrer/referrer_test.go
+++ b/internal/policy/referrer/referrer_test.go
@@ -35,10 +35,10 @@
 }
 
 // views returns what is known of all cells when the last jobs aren't told of yet.
-func (f *fleet) views(told [cells]float64) []cottonlanding.CellView {
+func (f *fleet) views(reported [cells]float64) []cottonlanding.CellView {
 	var out []cottonlanding.CellView
 	for cell := range cells {
-		out = append(out, cottonlanding.CellView{Cell: cottonlanding.CellNumber(cell), Usable: true, Free: 1 - told[cell]/capacity})
+		out = append(out, cottonlanding.CellView{Cell: cottonlanding.CellNumber(cell), Usable: true, Free: 1 - reported[cell]/capacity})
 	}
 	return out
 }
@@ -47,17 +47,17 @@
 // draws. Reports are as old as ten workflows; a home knows of its own referrals.
 func (f *fleet) fill(policy cottonlanding.ReferralPolicy) {
 	random := rand.New(rand.NewSource(1))
-	var told [cells]float64
+	var reported [cells]float64
 	for number := range jobs {
 		if number%10 == 0 {
-			told = f.used
+			reported = f.used
 		}
 		image := cottonlanding.Image(fmt.Sprintf("image%d", random.Intn(images)))
 		workflow := cottonlanding.Workflow{
 			ID:    cottonlanding.WorkflowID(fmt.Sprintf("%016x", number)),
 			Steps: []cottonlanding.Step{{Tasks: 24, Lasting: true, LatencyTarget: 150, Image: image}},
 		}
-		views := f.views(told)
+		views := f.views(reported)
 		home := random.Intn(cells)
 		at := cottonlanding.CellNumber(home)
 		others := append(append([]cottonlanding.CellView{}, views[:home]...), views[home+1:]...)
@@ -85,10 +85,10 @@
 	return float64(sum) / cells
 }
 
-// TestServingWorkflowsShareCells fills five cells to four fifths with sixteen images: by
+// TestByImageGroupsImages fills five cells to four fifths with sixteen images: by
 // ids alone some cell is too full; by room none is; by image none is either, and a cell
 // has half of the images.
-func TestServingWorkflowsShareCells(t *testing.T) {
+func TestByImageGroupsImages(t *testing.T) {
 	never, byRoom, byImage := newFleet(), newFleet(), newFleet()
 	never.fill(referrer.Never{})
 	byRoom.fill(referrer.ByRoom{})
@@ -101,9 +101,9 @@
 	require.Less(t, byImage.imagesPerCell(), 0.6*byRoom.imagesPerCell())
 }
 
-// TestHomeWithoutWorkersRefersAll plays a home whose data centre is cut off: its new owner
+// TestUnusableHomeRefersAll plays a home whose data centre is cut off: its new owner
 // reaches no worker, and all that comes goes to the others, to each of them some.
-func TestHomeWithoutWorkersRefersAll(t *testing.T) {
+func TestUnusableHomeRefersAll(t *testing.T) {
 	home := cottonlanding.CellView{Cell: 0}
 	others := []cottonlanding.CellView{{Cell: 1, Usable: true, Spare: 0.1}, {Cell: 2, Usable: true, Spare: 0.3}, {Cell: 3}}
 	got := make(map[cottonlanding.CellNumber]int)
@@ -118,7 +118,7 @@
 	require.Positive(t, got[1])
 }
 
-func TestRoomAtHomeIsUsed(t *testing.T) {
+func TestByRoomPrefersHome(t *testing.T) {
 	home := cottonlanding.CellView{Cell: 0, Usable: true, Free: 0.3, Spare: 0.3}
 	others := []cottonlanding.CellView{{Cell: 1, Usable: true, Free: 0.33, Spare: 0.34}}
 	for _, step := range []cottonlanding.Step{{Tasks: 4}, {Tasks: 4, Fills: true}} {
--- a/internal/policy/selector/golden_test.go
+++ b/internal/policy/selector/golden_test.go
@@ -40,7 +40,7 @@
 		{"Ranking", "worth", func(s selector.Set) any { return s.Planner.Ranking },
 			map[string]any{"arrival": ranker.Arrival{}, "left": ranker.LeastLeft{}, "worth": ranker.Worth{}}},
 		{"Blame", "fair", func(s selector.Set) any { return s.Planner.Blame },
-			map[string]any{"count": blamer.Count{}, "apart": blamer.Apart{}, "fair": blamer.Fair{}}},
+			map[string]any{"count": blamer.Count{}, "apart": blamer.Isolation{}, "fair": blamer.Fair{}}},
 		{"Delegation", "byroom", func(s selector.Set) any { return s.Planner.Delegation },
 			map[string]any{"byroom": delegator.ByRoom{}, "never": delegator.Never{}}},
 		{"Together", "datacentre", func(s selector.Set) any { return s.Planner.KeepsInOneDataCentre }, map[string]any{"datacentre": true, "never": false}},
@@ -48,7 +48,7 @@
 		{"Referral", "byimage", func(s selector.Set) any { return s.Referral },
 			map[string]any{"byimage": referrer.ByImage{}, "byroom": referrer.ByRoom{}, "never": referrer.Never{}}},
 		{"TakeOver", "reclaim", func(s selector.Set) any { return s.Reclaim }, map[string]any{"reclaim": true, "silence": false}},
-		{"News", "copy", func(s selector.Set) any { return s.SharesNews }, map[string]any{"copy": true, "table": false}},
+		{"News", "copy", func(s selector.Set) any { return s.UsesTableCopy }, map[string]any{"copy": true, "table": false}},
 	} {
 		require.Equal(t, one.variants[one.fallback], one.policy(selector.Default()), one.decision)
 		for variant, want := range one.variants {
--- a/internal/policy/selector/selector.go
+++ b/internal/policy/selector/selector.go
@@ -40,32 +40,32 @@
 	Planner planner.Policy
 	// Referral decides which cell keeps a workflow.
 	Referral cottonlanding.ReferralPolicy
-	// SharesNews says that hosts which own nothing read what operators write from a copy.
-	SharesNews bool
+	// UsesTableCopy says that hosts which own nothing read what operators write from a copy.
+	UsesTableCopy bool
 	// Reclaim says that a host takes what an earlier life of its own held at once.
 	Reclaim bool
 }
 
-// takeOvers are the variants of when a host takes over from an owner that is gone.
-var takeOvers = cataloger.Catalog[bool]{
+// takeOverVariants are the variants of when a host takes over from an owner that is gone.
+var takeOverVariants = cataloger.Catalog[bool]{
 	"reclaim": func() bool { return true },
 	"silence": func() bool { return false },
 }
 
-// silences are the variants of what is taken for silent.
-var silences = cataloger.Catalog[bool]{
+// silenceVariants are the variants of what is taken for silent.
+var silenceVariants = cataloger.Catalog[bool]{
 	"place":  func() bool { return true },
 	"worker": func() bool { return false },
 }
 
-// togethers are the variants of where the tasks of one workflow go.
-var togethers = cataloger.Catalog[bool]{
+// colocationVariants are the variants of where the tasks of one workflow go.
+var colocationVariants = cataloger.Catalog[bool]{
 	"datacentre": func() bool { return true },
 	"never":      func() bool { return false },
 }
 
-// sources are the variants of where hosts that own nothing read what operators write.
-var sources = cataloger.Catalog[bool]{
+// tableSourceVariants are the variants of where hosts that own nothing read what operators write.
+var tableSourceVariants = cataloger.Catalog[bool]{
 	"copy":  func() bool { return true },
 	"table": func() bool { return false },
 }
@@ -83,15 +83,15 @@
 			Ranking:              choose(s, "Ranking", ranker.Catalog, ranker.Fallback)(),
 			Blame:                choose(s, "Blame", blamer.Catalog, blamer.Fallback)(),
 			Delegation:           choose(s, "Delegation", delegator.Catalog, delegator.Fallback)(),
-			KeepsInOneDataCentre: choose(s, "Together", togethers, "datacentre")(),
-			WatchesDataCentres:   choose(s, "Silence", silences, "place")(),
+			KeepsInOneDataCentre: choose(s, "Together", colocationVariants, "datacentre")(),
+			WatchesDataCentres:   choose(s, "Silence", silenceVariants, "place")(),
 		},
-		Referral:   choose(s, "Referral", referrer.Catalog, referrer.Fallback)(),
-		Reclaim:    choose(s, "TakeOver", takeOvers, "reclaim")(),
-		SharesNews: choose(s, "News", sources, "copy")(),
+		Referral:      choose(s, "Referral", referrer.Catalog, referrer.Fallback)(),
+		Reclaim:       choose(s, "TakeOver", takeOverVariants, "reclaim")(),
+		UsesTableCopy: choose(s, "News", tableSourceVariants, "copy")(),
 	}
-	s.checkUnused()
-	return set, errors.Join(s.faults...)
+	s.checkUnknown()
+	return set, errors.Join(s.errs...)
 }
 
 // Default returns the policies of a host whose settings name none.
@@ -105,9 +105,9 @@
 
 // selection notes what was asked of the names.
 type selection struct {
-	names  Names
-	known  []string
-	faults []error
+	names Names
+	known []string
+	errs  []error
 }
 
 // choose returns the constructor of a decision's variant, or of its fallback if the
@@ -120,17 +120,17 @@
 	}
 	create, found := catalog[name]
 	if !found {
-		s.faults = append(s.faults, fmt.Errorf("%s: %q is none of %s", decision, name, strings.Join(catalog.Names(), ", ")))
+		s.errs = append(s.errs, fmt.Errorf("%s: %q is none of %s", decision, name, strings.Join(catalog.Names(), ", ")))
 		return catalog[fallback]
 	}
 	return create
 }
 
-// checkUnused tells of names that are no decision.
-func (s *selection) checkUnused() {
+// checkUnknown tells of names that are no decision.
+func (s *selection) checkUnknown() {
 	for _, name := range slices.Sorted(maps.Keys(s.names)) {
 		if !slices.Contains(s.known, name) {
-			s.faults = append(s.faults, fmt.Errorf("%s: no such decision; there are %s", name, strings.Join(s.known, ", ")))
+			s.errs = append(s.errs, fmt.Errorf("%s: no such decision; there are %s", name, strings.Join(s.known, ", ")))
 		}
 	}
 }
--- a/internal/policy/selector/selector_test.go
+++ b/internal/policy/selector/selector_test.go
@@ -21,7 +21,7 @@
 	require.True(t, selector.Default().Reclaim)
 }
 
-func TestUnknownNamesAreTold(t *testing.T) {
+func TestUnknownNames(t *testing.T) {
 	_, err := selector.New(selector.Names{"Mixing": "never", "Colour": "red"})
 	require.ErrorContains(t, err, `Mixing: "never" is none of anywhere, leastlost`)
 	require.ErrorContains(t, err, "Colour: no such decision; there are ShortPlacement")
--- a/internal/policy/weigher/weigher.go
+++ b/internal/policy/weigher/weigher.go
@@ -16,17 +16,17 @@
 	"trials":   func() cottonlanding.DisturbancePolicy { return Trials{} },
 }
 
-// caution is how many standard errors are added to a weight before it is relied on.
+// cautionFactor is how many standard errors are added to a weight before it is relied on.
 // Source: plays on the users' platform; more left workers idle, less pushed serving
 // tasks over their target.
-const caution = 0.7
+const cautionFactor = 0.7
 
 // Cautious takes a pair that isn't known for one that disturbs much, the plain baseline.
 type Cautious struct{}
 
 // Weight implements cottonlanding.DisturbancePolicy.
 func (Cautious) Weight(pair cottonlanding.PairView) float64 {
-	return max(pair.Weight+caution*pair.Doubt, 0)
+	return max(pair.Weight+cautionFactor*pair.StandardError, 0)
 }
 
 // Untried implements cottonlanding.DisturbancePolicy.
--- a/internal/policy/weigher/weigher_test.go
+++ b/internal/policy/weigher/weigher_test.go
@@ -9,13 +9,13 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/weigher"
 )
 
-func TestTrialsTakeWhatIsNotKnownForLight(t *testing.T) {
-	unknown := cottonlanding.PairView{Weight: 1.5, Doubt: 2.5}
+func TestTrialsAcceptUnknownPairs(t *testing.T) {
+	unknown := cottonlanding.PairView{Weight: 1.5, StandardError: 2.5}
 	require.Less(t, weigher.Trials{}.Weight(unknown), cottonlanding.LightWeight)
 	require.True(t, weigher.Trials{}.Untried(unknown))
 	require.Greater(t, weigher.Cautious{}.Weight(unknown), cottonlanding.LightWeight, "the baseline never places it")
-	heavy := cottonlanding.PairView{Weight: 1.5, Doubt: 0.6}
+	heavy := cottonlanding.PairView{Weight: 1.5, StandardError: 0.6}
 	require.Greater(t, weigher.Trials{}.Weight(heavy), cottonlanding.LightWeight, "a few figures are enough")
 	require.False(t, weigher.Trials{}.Untried(heavy))
-	require.Zero(t, weigher.Trials{}.Weight(cottonlanding.PairView{Weight: -0.2, Doubt: 0.1}))
+	require.Zero(t, weigher.Trials{}.Weight(cottonlanding.PairView{Weight: -0.2, StandardError: 0.1}))
 }
--- a/internal/stand/runner/checkpoints_test.go
+++ b/internal/stand/runner/checkpoints_test.go
@@ -48,7 +48,7 @@
 }
 
 func (f *fixture) look(id cottonlanding.WorkerID) cottonlanding.RunReport {
-	report, err := f.runner.Look(f.t.Context(), f.worker(id), cottonlanding.Look{Epoch: 1})
+	report, err := f.runner.Poll(f.t.Context(), f.worker(id), cottonlanding.Poll{Epoch: 1})
 	require.NoError(f.t, err)
 	return report
 }
--- a/internal/stand/runner/crashes_test.go
+++ b/internal/stand/runner/crashes_test.go
@@ -27,7 +27,7 @@
 		_, err := crashing.Start(t.Context(), ref, cottonlanding.RunStart{RunKey: run(0, 0, 1), LeaseUntil: leased, Epoch: 1})
 		require.NoError(t, err)
 		for range 20 {
-			if report, err := crashing.Look(t.Context(), ref, cottonlanding.Look{Epoch: 1}); err == nil {
+			if report, err := crashing.Poll(t.Context(), ref, cottonlanding.Poll{Epoch: 1}); err == nil {
 				require.Empty(t, report.Ended)
 			}
 		}
--- a/internal/workflow/driver/attendant.go
+++ b/internal/workflow/driver/attendant.go
@@ -133,7 +133,7 @@
 	ctx, cancel := context.WithTimeout(d.ctx, (next.Look.Wait + callTimeout).Duration())
 	defer cancel()
 	sentAt := d.deps.Clock.Now()
-	report, err := d.deps.Workers.Look(ctx, next.Worker, next.Look)
+	report, err := d.deps.Workers.Poll(ctx, next.Worker, next.Look)
 	cameAt := d.deps.Clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/workflow/driver/cordon.go
+++ b/internal/workflow/driver/cordon.go
@@ -62,7 +62,7 @@
 // for one that has to wait for newer figures.
 func (c *cordon) check(order planner.Order) error {
 	evacuations := c.evacuations()
-	if evacuations.Cover(order.DataCentre) {
+	if evacuations.Includes(order.DataCentre) {
 		return fmt.Errorf("data centre %s is evacuated: %w", order.DataCentre, planner.ErrObsoleteStart)
 	}
 	if c.leaves(order.Worker.Life.Worker) {
--- a/internal/workflow/driver/cutplace_test.go
+++ b/internal/workflow/driver/cutplace_test.go
@@ -40,11 +40,11 @@
 	return c.RunClient.Start(ctx, worker, start)
 }
 
-func (c cutPlace) Look(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Look) (cottonlanding.RunReport, error) {
+func (c cutPlace) Poll(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
 	var report cottonlanding.RunReport
 	var err error
 	if !c.unreachable(worker) {
-		report, err = c.RunClient.Look(ctx, worker, look)
+		report, err = c.RunClient.Poll(ctx, worker, look)
 	}
 	if c.unreachable(worker) { // the answer may be cut off, too
 		<-ctx.Done()
--- a/internal/workflow/driver/driver_test.go
+++ b/internal/workflow/driver/driver_test.go
@@ -170,9 +170,9 @@
 	answered sync.Map
 }
 
-func (s *slowAnswers) Look(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Look) (cottonlanding.RunReport, error) {
+func (s *slowAnswers) Poll(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
 	if look.Wait > 0 {
-		return s.RunClient.Look(ctx, worker, look)
+		return s.RunClient.Poll(ctx, worker, look)
 	}
 	if s.silent(worker.Life.Worker) {
 		<-ctx.Done()
@@ -186,7 +186,7 @@
 		return cottonlanding.RunReport{}, cottonlanding.ErrAmbiguous
 	}
 	s.answered.Store(worker.Life.Worker, true)
-	return s.RunClient.Look(ctx, worker, look)
+	return s.RunClient.Poll(ctx, worker, look)
 }
 
 // TestNewOwnerAsksSomeWorkersAtATime: looks that are all sent at once by an owner too
--- a/internal/workflow/driver/evacuate_test.go
+++ b/internal/workflow/driver/evacuate_test.go
@@ -35,7 +35,7 @@
 			deps.Evacuations = func() cottonlanding.Evacuations {
 				now := cottonlanding.Evacuations{ReadAt: deps.Clock.Now()}
 				if evacuated.Load() {
-					now.Ordered = map[cottonlanding.DataCentre]cottonlanding.Evacuation{queueAt: {DataCentre: queueAt, Version: 7}}
+					now.InForce = map[cottonlanding.DataCentre]cottonlanding.Evacuation{queueAt: {DataCentre: queueAt, Version: 7}}
 				}
 				return now
 			}
--- a/internal/workflow/driver/looks_test.go
+++ b/internal/workflow/driver/looks_test.go
@@ -17,10 +17,10 @@
 	looks atomic.Int64
 }
 
-func (p *promptWorkers) Look(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Look) (cottonlanding.RunReport, error) {
+func (p *promptWorkers) Poll(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
 	p.looks.Add(1)
 	look.Wait = 0
-	return p.RunClient.Look(ctx, worker, look)
+	return p.RunClient.Poll(ctx, worker, look)
 }
 
 // TestWorkersThatAnswerAtOnceAreNotAskedWithoutEnd: an owner asked a worker that doesn't hold back its answers again
--- a/internal/workflow/driver/owner_test.go
+++ b/internal/workflow/driver/owner_test.go
@@ -163,10 +163,10 @@
 // lookPause is how often they look for an end meanwhile.
 const lookPause = 20 * time.Millisecond
 
-func (p *patientWorkers) Look(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Look) (cottonlanding.RunReport, error) {
+func (p *patientWorkers) Poll(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
 	until := time.Now().Add(look.Wait.Duration())
 	for {
-		report, err := p.Runner.Look(ctx, worker, look)
+		report, err := p.Runner.Poll(ctx, worker, look)
 		if err != nil || len(report.Ended) > 0 || !time.Now().Before(until) {
 			return report, err
 		}
--- a/internal/workflow/driver/stale_test.go
+++ b/internal/workflow/driver/stale_test.go
@@ -25,9 +25,9 @@
 	sent atomic.Int64
 }
 
-func (c *countedLooks) Look(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Look) (cottonlanding.RunReport, error) {
+func (c *countedLooks) Poll(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
 	c.sent.Add(1)
-	return c.RunClient.Look(ctx, worker, look)
+	return c.RunClient.Poll(ctx, worker, look)
 }
 
 // TestLeasesAreRenewedWhileEndsAreNotCommitted: a worker whose ends wait for a commit
@@ -108,14 +108,14 @@
 // offsetOf5000 is what newOwner gives the clocks of its workers.
 const offsetOf5000 = 5000
 
-func (l *leaseLeft) Look(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Look) (cottonlanding.RunReport, error) {
+func (l *leaseLeft) Poll(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
 	if l.on.Load() && look.LeaseUntil > 0 {
 		left := cottonlanding.Millis(look.LeaseUntil) - offsetOf5000 - l.clock.Now()
 		l.mu.Lock()
 		l.least = min(l.least, left)
 		l.mu.Unlock()
 	}
-	return l.RunClient.Look(ctx, worker, look)
+	return l.RunClient.Poll(ctx, worker, look)
 }
 
 // TestDecisionsDoNotShortenLeases: the answer to a look came when it arrived, not when
--- a/internal/workflow/partitioner/layout.go
+++ b/internal/workflow/partitioner/layout.go
@@ -34,21 +34,21 @@
 // RackKey names a rack among those of all data centres.
 type RackKey string
 
-// errNoLayout reports a layout that can't be used.
-var errNoLayout = errors.New("no layout")
+// errBadLayout reports a layout that can't be used.
+var errBadLayout = errors.New("no layout")
 
 // Decode reads a layout.
 func Decode(data []byte) (Layout, error) {
 	var out Layout
 	if err := json.Unmarshal(data, &out); err != nil {
-		return Layout{}, fmt.Errorf("%w: %w", errNoLayout, err)
+		return Layout{}, fmt.Errorf("%w: %w", errBadLayout, err)
 	}
 	if out.Cells < 1 {
-		return Layout{}, fmt.Errorf("%w: %d cells", errNoLayout, out.Cells)
+		return Layout{}, fmt.Errorf("%w: %d cells", errBadLayout, out.Cells)
 	}
 	for rack, cell := range out.Racks {
 		if cell < 0 || int(cell) >= out.Cells {
-			return Layout{}, fmt.Errorf("%w: rack %s is in cell %d of %d", errNoLayout, rack, cell, out.Cells)
+			return Layout{}, fmt.Errorf("%w: rack %s is in cell %d of %d", errBadLayout, rack, cell, out.Cells)
 		}
 	}
 	return out, nil
@@ -82,18 +82,18 @@
 // Place returns the data centre of a cell's racks, and false if they are of several or
 // there are none.
 func (l Layout) Place(cell cottonlanding.CellNumber) (cottonlanding.DataCentre, bool) {
-	place, found := "", false
+	dataCentre, found := "", false
 	for key, at := range l.Racks {
 		if at != cell {
 			continue
 		}
 		next, _, _ := strings.Cut(string(key), rackSeparator)
-		if found && next != place {
+		if found && next != dataCentre {
 			return "", false
 		}
-		place, found = next, true
+		dataCentre, found = next, true
 	}
-	return cottonlanding.DataCentre(place), found
+	return cottonlanding.DataCentre(dataCentre), found
 }
 
 // rackSeparator stands between the data centre and the rack in a key.
@@ -134,14 +134,14 @@
 // least.
 func Divide(workers []cottonlanding.WorkerInfo, perCell int) Layout {
 	racks := racksOf(workers)
-	out := Layout{Cells: max(1, rounded(len(workers), max(perCell, 1))), Racks: make(map[RackKey]cottonlanding.CellNumber)}
+	out := Layout{Cells: max(1, roundedQuotient(len(workers), max(perCell, 1))), Racks: make(map[RackKey]cottonlanding.CellNumber)}
 	for at, r := range racks {
 		out.Racks[r.key] = cottonlanding.CellNumber(at % out.Cells)
 	}
 	return out
 }
 
-func rounded(workers, perCell int) int { return (2*workers + perCell) / (2 * perCell) }
+func roundedQuotient(workers, perCell int) int { return (2*workers + perCell) / (2 * perCell) }
 
 // Extend returns the layout with the racks of workers that it lacks, and whether there
 // were any. A new rack goes to the smallest cell.
--- a/internal/workflow/partitioner/layout_test.go
+++ b/internal/workflow/partitioner/layout_test.go
@@ -27,10 +27,10 @@
 	return out
 }
 
-// TestCellsSpanDataCentres divides deployments of several sizes by 250 workers a cell, as a
+// TestCellsLoseDataCentresEvenly divides deployments of several sizes by 250 workers a cell, as a
 // large host asks for. Small ones stay whole. Of large ones each data centre may lose a third
 // of its workers, or all, and no cell loses much more than the others.
-func TestCellsSpanDataCentres(t *testing.T) {
+func TestCellsLoseDataCentresEvenly(t *testing.T) {
 	for _, one := range []struct {
 		workers []cottonlanding.WorkerInfo
 		cells   int
@@ -47,8 +47,8 @@
 		for lost := range 5 {
 			for _, third := range []bool{true, false} {
 				left := slices.DeleteFunc(slices.Clone(one.workers), func(info cottonlanding.WorkerInfo) bool {
-					place := info.DataCentre == cottonlanding.DataCentre(fmt.Sprintf("d%d", lost))
-					return place && (!third || len(info.ID)%3 == 0)
+					inLost := info.DataCentre == cottonlanding.DataCentre(fmt.Sprintf("d%d", lost))
+					return inLost && (!third || len(info.ID)%3 == 0)
 				})
 				mean := float64(len(left)) / float64(layout.Cells)
 				for cell := range layout.Cells {
@@ -59,15 +59,15 @@
 	}
 }
 
-// TestLayouts checks on drawn deployments that each worker is in one cell, that cells are
+// TestLayoutIsPartition checks on drawn deployments that each worker is in one cell, that cells are
 // of about the size asked for, and that new racks move no worker.
-func TestLayouts(t *testing.T) {
+func TestLayoutIsPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 400), 1, 6).Draw(t, "sizes")
 		perRack, perCell := rapid.IntRange(1, 16).Draw(t, "perRack"), rapid.IntRange(20, 300).Draw(t, "perCell")
 		workers := deployment(perRack, sizes...)
 		layout := partitioner.Divide(workers, perCell)
-		checkWhole(t, layout, workers)
+		checkPartition(t, layout, workers)
 		for cell := range layout.Cells {
 			count := len(layout.Workers(workers, cottonlanding.CellNumber(cell)))
 			require.LessOrEqual(t, count, 3*perCell/2+(len(sizes)+1)*perRack, "cell %d", cell)
@@ -85,7 +85,7 @@
 		}
 		more := deployment(perRack, grown...)
 		extended, _ := layout.Extend(more)
-		checkWhole(t, extended, more)
+		checkPartition(t, extended, more)
 		require.Equal(t, layout.Cells, extended.Cells)
 		for rack, cell := range layout.Racks {
 			require.Equal(t, cell, extended.Racks[rack], "rack %s has moved", rack)
@@ -96,8 +96,8 @@
 	})
 }
 
-// checkWhole checks that each worker is in exactly one cell.
-func checkWhole(t *rapid.T, layout partitioner.Layout, workers []cottonlanding.WorkerInfo) {
+// checkPartition checks that each worker is in exactly one cell.
+func checkPartition(t *rapid.T, layout partitioner.Layout, workers []cottonlanding.WorkerInfo) {
 	seen := make(map[cottonlanding.WorkerID]bool)
 	for cell := range layout.Cells {
 		for _, info := range layout.Workers(workers, cottonlanding.CellNumber(cell)) {
@@ -108,7 +108,7 @@
 	require.Len(t, seen, len(workers))
 }
 
-func TestHomesAreSpread(t *testing.T) {
+func TestHomeDistribution(t *testing.T) {
 	layout := partitioner.Layout{Cells: 5}
 	counts := make([]int, layout.Cells)
 	for number := range 5000 {
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestBadLayoutsAreRefused(t *testing.T) {
+func TestDecodeRejectsBadLayouts(t *testing.T) {
 	for _, data := range []string{``, `{`, `[]`, `{"Cells":0}`, `{"Cells":2,"Racks":{"d/r":2}}`, `{"Cells":2,"Racks":{"d/r":-1}}`} {
 		_, err := partitioner.Decode([]byte(data))
 		require.Error(t, err, data)
--- a/internal/workflow/planner/blame.go
+++ b/internal/workflow/planner/blame.go
@@ -64,12 +64,12 @@
 	suspects := suspectsAmong(lost, at)
 	crash := c.crashView(w, at)
 	end := cottonlanding.RunLoss{
-		LifeEnded:  why != lossByLapse,
-		Met:        w.lastAnswerAt > 0,
-		Recent:     true,
-		EndsAnyway: w.isUnstable(at),
-		Young:      w.age(at) < stableAge,
-		OuterCause: !c.policy.Blame.Blames(crash),
+		LifeEnded:     why != lossByLapse,
+		Answered:      w.lastAnswerAt > 0,
+		Recent:        true,
+		Unstable:      w.isUnstable(at),
+		Young:         w.age(at) < stableAge,
+		ExternalCause: !c.policy.Blame.Blames(crash),
 	}
 	var faultyTasks []*task
 	var summaries []string
@@ -81,13 +81,13 @@
 		finding := c.assessLoss(r, loss)
 		summaries = append(summaries, fmt.Sprintf("%s#%d seen for %d %s losses %d crashes %d", r.Task, r.Number, r.observedFor(),
 			finding, r.task.crashes.Losses, r.task.crashes.Crashes))
-		suspect := cottonlanding.SuspectView{Record: r.task.crashes, Finding: finding, Alone: len(suspects) == 1, Prompt: r.beganJustBefore(at), Crash: crash}
+		suspect := cottonlanding.SuspectView{Record: r.task.crashes, Finding: finding, SoleSuspect: len(suspects) == 1, JustStarted: r.beganJustBefore(at), Crash: crash}
 		if finding > cottonlanding.NoProof && c.shouldGiveUp(suspect) {
 			faultyTasks = append(faultyTasks, r.task)
 		}
 	}
-	c.log.Warn("crash weighed", "Worker", w.info.ID, "Born", w.life().Born, "Why", why, "LastAnswer", now-w.lastAnswerAt, "Ended", end.LifeEnded, "Met", end.Met,
-		"EndsAnyway", end.EndsAnyway, "Age", w.age(at), "OuterCause", end.OuterCause, "Suspects", len(suspects), "Tasks", summaries, "SilentFor", now-at,
+	c.log.Warn("crash weighed", "Worker", w.info.ID, "Born", w.life().Born, "Why", why, "LastAnswer", now-w.lastAnswerAt, "Ended", end.LifeEnded, "Met", end.Answered,
+		"EndsAnyway", end.Unstable, "Age", w.age(at), "OuterCause", end.ExternalCause, "Suspects", len(suspects), "Tasks", summaries, "SilentFor", now-at,
 		"Unprovoked", crash.Unprovoked, "Rack", crash.Rack, "RackSilent", crash.RackSilent, "Workers", crash.Workers, "Silent", crash.Silent)
 	return faultyTasks
 }
@@ -96,8 +96,8 @@
 func lossOf(end cottonlanding.RunLoss, w *worker, r *run, standsOut bool) cottonlanding.RunLoss {
 	loss := end
 	loss.LifeEnded = end.LifeEnded || r.isUntraceable()
-	loss.EndsAnyway = end.EndsAnyway || slices.Contains(w.predecessorSuspects, r.task)
-	loss.Began = r.ackedAt > 0
+	loss.Unstable = end.Unstable || slices.Contains(w.predecessorSuspects, r.task)
+	loss.StartConfirmed = r.ackedAt > 0
 	loss.Outlived = r.outlived
 	loss.Leaving = w.endExpectedFor(r)
 	loss.StandsOut = standsOut
@@ -118,7 +118,7 @@
 
 // shouldGiveUp reports whether a task is given up after another loss.
 func (c *Cell) shouldGiveUp(suspect cottonlanding.SuspectView) bool {
-	return suspect.Record.Losses >= maxLosses || c.policy.Blame.Convicts(suspect)
+	return suspect.Record.Losses >= maxLosses || c.policy.Blame.GivesUp(suspect)
 }
 
 // isUntraceable reports whether the outcome of the run's life can't become known: its entry is gone, and its birth is
--- a/internal/workflow/planner/doublestart_test.go
+++ b/internal/workflow/planner/doublestart_test.go
@@ -101,7 +101,7 @@
 	if !found || next.After > 0 {
 		return
 	}
-	report, err := s.w.runner.Look(context.Background(), next.Worker, next.Look)
+	report, err := s.w.runner.Poll(context.Background(), next.Worker, next.Look)
 	if err == nil {
 		s.recordListed(id, report)
 		s.recordForgotten(id, next.Look.Seen)
--- a/internal/workflow/planner/estimate.go
+++ b/internal/workflow/planner/estimate.go
@@ -33,7 +33,7 @@
 }
 
 // unknownPair is the view of a pair that was never observed.
-var unknownPair = cottonlanding.PairView{Weight: initialWeight, Doubt: initialStandardError}
+var unknownPair = cottonlanding.PairView{Weight: initialWeight, StandardError: initialStandardError}
 
 // pair returns the estimate for a filling image.
 func (e *weightEstimate) pair(image cottonlanding.Image) cottonlanding.PairView {
@@ -41,7 +41,7 @@
 	if !known {
 		return unknownPair
 	}
-	return cottonlanding.PairView{Weight: e.weights[at], Doubt: math.Sqrt(e.doubt[at][at])}
+	return cottonlanding.PairView{Weight: e.weights[at], StandardError: math.Sqrt(e.doubt[at][at])}
 }
 
 // predict returns the load that the use of filling images adds to the serving image, and its variance.
--- a/internal/workflow/planner/evacuate.go
+++ b/internal/workflow/planner/evacuate.go
@@ -39,11 +39,11 @@
 
 // sameEvacuations reports whether two readings contain the same evacuations.
 func sameEvacuations(a, b cottonlanding.Evacuations) bool {
-	if len(a.Ordered) != len(b.Ordered) {
+	if len(a.InForce) != len(b.InForce) {
 		return false
 	}
-	for dataCentre, one := range a.Ordered {
-		if other, found := b.Ordered[dataCentre]; !found || other.Version != one.Version {
+	for dataCentre, one := range a.InForce {
+		if other, found := b.InForce[dataCentre]; !found || other.Version != one.Version {
 			return false
 		}
 	}
@@ -52,7 +52,7 @@
 
 // updateEvacuated recomputes whether a worker's data centre is evacuated, and reports whether that has changed.
 func (c *Cell) updateEvacuated(w *worker) bool {
-	evacuated := c.evacuations.Cover(w.info.DataCentre)
+	evacuated := c.evacuations.Includes(w.info.DataCentre)
 	if evacuated == w.evacuated {
 		return false
 	}
@@ -118,9 +118,9 @@
 		runs[w.info.DataCentre] += w.runs.size()
 	}
 	for _, dataCentre := range slices.Sorted(maps.Keys(workers)) {
-		order, evacuated := c.evacuations.Ordered[dataCentre]
+		order, evacuated := c.evacuations.InForce[dataCentre]
 		if !evacuated {
-			order = before.Ordered[dataCentre]
+			order = before.InForce[dataCentre]
 		}
 		c.log.Info("data centre evacuated", "DataCentre", dataCentre, "Evacuated", evacuated, "Version", order.Version,
 			"KnownFor", now-order.KnownAt, "Workers", workers[dataCentre], "Runs", runs[dataCentre], "StartsTakenBack", revoked)
--- a/internal/workflow/planner/evacuate_test.go
+++ b/internal/workflow/planner/evacuate_test.go
@@ -38,7 +38,7 @@
 
 // applyEvacuations passes the current evacuations to the cell.
 func (e *evacuationWorld) applyEvacuations() {
-	e.cell.SetEvacuations(cottonlanding.Evacuations{ReadAt: e.now, Ordered: maps.Clone(e.evacuated)}, e.now)
+	e.cell.SetEvacuations(cottonlanding.Evacuations{ReadAt: e.now, InForce: maps.Clone(e.evacuated)}, e.now)
 }
 
 func (e *evacuationWorld) evacuate(dataCentre cottonlanding.DataCentre) {
--- a/internal/workflow/planner/interference.go
+++ b/internal/workflow/planner/interference.go
@@ -97,7 +97,7 @@
 	for filling, share := range used {
 		pair := p.pair(filling, serving)
 		added += max(pair.Weight, 0) * share
-		variance += pair.Doubt * pair.Doubt * share * share
+		variance += pair.StandardError * pair.StandardError * share * share
 	}
 	return added, variance
 }
--- a/internal/workflow/planner/leasebounds.go
+++ b/internal/workflow/planner/leasebounds.go
@@ -185,7 +185,7 @@
 // those on which its runs were placed: that life may have accepted a start that got no answer. It computes the
 // lease from its own clock, and cuts it to MaxLease.
 func (c *Cell) nextLifeExtension(w *worker) cottonlanding.Millis {
-	if slices.ContainsFunc(w.runs.all(), func(r *run) bool { return r.born.IsOtherThan(w.info.Born) }) {
+	if slices.ContainsFunc(w.runs.all(), func(r *run) bool { return r.born.DiffersFrom(w.info.Born) }) {
 		return max(0, c.timing.MaxLease-c.timing.Lease)
 	}
 	return 0
--- a/internal/workflow/planner/life.go
+++ b/internal/workflow/planner/life.go
@@ -44,7 +44,7 @@
 
 // entryIsCurrent reports whether the list entry describes the life that answers. Another life may offer another
 // service or have other resources.
-func (w *worker) entryIsCurrent() bool { return !w.info.Born.IsOtherThan(w.born) }
+func (w *worker) entryIsCurrent() bool { return !w.info.Born.DiffersFrom(w.born) }
 
 // applyEntry applies a worker's list entry. An entry of an earlier life is ignored; one of an unknown life says that
 // the worker may have been restarted.
@@ -52,7 +52,7 @@
 	if info.Born != 0 && slices.Contains(w.previous, info.Born) {
 		return
 	}
-	if info.Born.IsOtherThan(w.born) {
+	if info.Born.DiffersFrom(w.born) {
 		w.lifeUnconfirmed = true
 	}
 	w.info = info
@@ -123,7 +123,7 @@
 
 // isOnEarlierLife reports whether a run was placed on an earlier life of its worker, by this owner or a previous one.
 func (r *run) isOnEarlierLife() bool {
-	return r.worker.predecessor != nil && r.life == r.worker.predecessor || r.born.IsOtherThan(r.worker.born)
+	return r.worker.predecessor != nil && r.life == r.worker.predecessor || r.born.DiffersFrom(r.worker.born)
 }
 
 // listsRun reports whether a worker lists a run as running or ended.
@@ -228,7 +228,7 @@
 // matches reports whether an entry describes the ended life. A worker that is back under its id has another birth, or
 // else another address.
 func (e endedLife) matches(info cottonlanding.WorkerInfo) bool {
-	return !info.Born.IsOtherThan(e.born) && info.Address == e.address
+	return !info.Born.DiffersFrom(e.born) && info.Address == e.address
 }
 
 // recordLifeEnded handles that another worker answered at a worker's address. The life never comes back, however long
--- a/internal/workflow/planner/mix.go
+++ b/internal/workflow/planner/mix.go
@@ -33,11 +33,11 @@
 	for _, s := range slacks {
 		images = append(images, s.image)
 	}
-	view := cottonlanding.MixView{Bears: p.countTolerated(images, now)}
+	view := cottonlanding.MixView{Tolerated: p.countTolerated(images, now)}
 	if !slices.Contains(images, joining) {
 		images = append(images, joining)
 	}
-	view.BearsAfter = p.countTolerated(images, now)
+	view.ToleratedAfter = p.countTolerated(images, now)
 	return view
 }
 
--- a/internal/workflow/planner/openlife.go
+++ b/internal/workflow/planner/openlife.go
@@ -68,7 +68,7 @@
 
 // resolveOnAnswer resolves the open lives of a worker that answers.
 func (c *Cell) resolveOnAnswer(w *worker, now cottonlanding.Millis) {
-	c.resolveOpenLives(w.info.ID, func(life cottonlanding.Life) bool { return life.Born.IsOtherThan(w.born) }, now)
+	c.resolveOpenLives(w.info.ID, func(life cottonlanding.Life) bool { return life.Born.DiffersFrom(w.born) }, now)
 }
 
 // pruneOpenLives resolves open lives whose outcome can't become known any more and forgets those that no task waits
--- a/internal/workflow/planner/outage.go
+++ b/internal/workflow/planner/outage.go
@@ -42,7 +42,7 @@
 // endExpectedFor is endExpected for the life on which a run was placed. By now the entry may be of a later life, and
 // so may the worker's answers.
 func (w *worker) endExpectedFor(r *run) bool {
-	return w.leaving() && !r.born.IsOtherThan(w.info.Born) || w.answeredUnlisted && !r.born.IsOtherThan(w.born)
+	return w.leaving() && !r.born.DiffersFrom(w.info.Born) || w.answeredUnlisted && !r.born.DiffersFrom(w.born)
 }
 
 // lostContactAt returns when the worker first didn't answer.
--- a/internal/workflow/planner/poll.go
+++ b/internal/workflow/planner/poll.go
@@ -44,7 +44,7 @@
 // NextPoll describes the next poll of a worker.
 type NextPoll struct {
 	Worker cottonlanding.WorkerRef
-	Look   cottonlanding.Look
+	Look   cottonlanding.Poll
 	// After is how long to wait before polling, unless something changes earlier.
 	After cottonlanding.Millis
 }
@@ -65,7 +65,7 @@
 		next.After = w.uncommittedSince + uncommittedEndsTimeout - now
 		return next, true
 	}
-	next.Look = cottonlanding.Look{Epoch: c.setup.Epoch}
+	next.Look = cottonlanding.Poll{Epoch: c.setup.Epoch}
 	if w.lifeUnconfirmed || w.pollFailed {
 		// This poll carries neither acknowledged ends nor a lease: another life would forget its own ends by these
 		// numbers, and measure the lease by its own clock.
--- a/internal/workflow/planner/sharedlearnt.go
+++ b/internal/workflow/planner/sharedlearnt.go
@@ -22,11 +22,11 @@
 
 // findingOf returns what is known of a pair beyond the initial assumption.
 func findingOf(pair cottonlanding.PairView) finding {
-	precision := 1/(pair.Doubt*pair.Doubt) - initialPrecision
+	precision := 1/(pair.StandardError*pair.StandardError) - initialPrecision
 	if precision <= 0 {
 		return finding{}
 	}
-	return finding{precision, pair.Weight/(pair.Doubt*pair.Doubt) - initialWeight*initialPrecision}
+	return finding{precision, pair.Weight/(pair.StandardError*pair.StandardError) - initialWeight*initialPrecision}
 }
 
 // combine returns what is known of a pair together with the findings of other cells.
@@ -34,9 +34,9 @@
 	if others.precision == 0 {
 		return own
 	}
-	precision := 1/(own.Doubt*own.Doubt) + others.precision
-	moment := own.Weight/(own.Doubt*own.Doubt) + others.moment
-	return cottonlanding.PairView{Weight: moment / precision, Doubt: 1 / math.Sqrt(precision)}
+	precision := 1/(own.StandardError*own.StandardError) + others.precision
+	moment := own.Weight/(own.StandardError*own.StandardError) + others.moment
+	return cottonlanding.PairView{Weight: moment / precision, StandardError: 1 / math.Sqrt(precision)}
 }
 
 // findings holds what other cells have learnt, by serving and filling image.
@@ -50,7 +50,7 @@
 			f[serving.Image] = make(map[cottonlanding.Image]finding)
 		}
 		for _, pair := range serving.Pairs {
-			one := findingOf(cottonlanding.PairView{Weight: pair.Weight, Doubt: max(pair.Doubt, minInheritedStandardError)})
+			one := findingOf(cottonlanding.PairView{Weight: pair.Weight, StandardError: max(pair.Doubt, minInheritedStandardError)})
 			sum := f[serving.Image][pair.Image]
 			f[serving.Image][pair.Image] = finding{sum.precision + one.precision, sum.moment + one.moment}
 		}
--- a/internal/workflow/planner/simulatedcell_test.go
+++ b/internal/workflow/planner/simulatedcell_test.go
@@ -158,7 +158,7 @@
 	for dataCentre, order := range p.evacuated {
 		ordered[dataCentre] = order
 	}
-	p.cell.SetEvacuations(cottonlanding.Evacuations{ReadAt: p.now, Ordered: ordered}, p.now)
+	p.cell.SetEvacuations(cottonlanding.Evacuations{ReadAt: p.now, InForce: ordered}, p.now)
 }
 
 func (p *simulatedCell) evacuate(dataCentre cottonlanding.DataCentre, evacuated bool) {
@@ -259,7 +259,7 @@
 	left := p.delayed[:0]
 	for _, order := range p.delayed {
 		switch {
-		case p.lifeOf(order.Worker.Life.Worker).IsOtherThan(order.Worker.Life.Born):
+		case p.lifeOf(order.Worker.Life.Worker).DiffersFrom(order.Worker.Life.Born):
 			// the life that delayed it is over
 		case p.now < order.at:
 			left = append(left, order)
@@ -292,7 +292,7 @@
 			p.cell.PollSent(id, p.now)
 		}
 		poll = sentPoll{next: next, sentAt: p.now, until: p.now + next.Look.Wait}
-		_, poll.failure = p.runner.Look(context.Background(), next.Worker, next.Look)
+		_, poll.failure = p.runner.Poll(context.Background(), next.Worker, next.Look)
 		p.polls[id] = poll
 	}
 	p.answerPoll(id, poll)
@@ -301,9 +301,9 @@
 // answerPoll has the worker answer a poll if a run has ended there, or the wait of the poll is over.
 func (p *simulatedCell) answerPoll(id cottonlanding.WorkerID, poll sentPoll) {
 	if poll.failure == nil {
-		asks := cottonlanding.Look{Epoch: poll.next.Look.Epoch}
+		asks := cottonlanding.Poll{Epoch: poll.next.Look.Epoch}
 		var report cottonlanding.RunReport
-		if report, poll.failure = p.runner.Look(context.Background(), poll.next.Worker, asks); poll.failure == nil {
+		if report, poll.failure = p.runner.Poll(context.Background(), poll.next.Worker, asks); poll.failure == nil {
 			if len(report.Ended) == 0 && p.now < poll.until {
 				return
 			}
--- a/internal/workflow/planner/trial.go
+++ b/internal/workflow/planner/trial.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		pair := c.interference.pair(filling, serving)
-		c.log.Info("images tried", "Filling", filling, "Serving", serving, "Weight", rounded(pair.Weight), "Doubt", rounded(pair.Doubt))
+		c.log.Info("images tried", "Filling", filling, "Serving", serving, "Weight", rounded(pair.Weight), "Doubt", rounded(pair.StandardError))
 	}
 }
 
--- a/internal/workflow/planner/world_test.go
+++ b/internal/workflow/planner/world_test.go
@@ -179,7 +179,7 @@
 // tableClock reads the table's clock, which has another zero.
 func (w *world) tableClock() cottonlanding.TableReading {
 	const ahead, callTime = 5_000_000, 4
-	return cottonlanding.TableReading{Shown: cottonlanding.TableInstant(w.now + ahead), Asked: w.now - callTime, Came: w.now}
+	return cottonlanding.TableReading{Shown: cottonlanding.TableInstant(w.now + ahead), RequestedAt: w.now - callTime, ReceivedAt: w.now}
 }
 
 func (w *world) scan(prefix cottonlanding.Key) []cottonlanding.Row {
@@ -276,7 +276,7 @@
 	if !found || next.After > 0 {
 		return
 	}
-	report, err := w.runner.Look(context.Background(), next.Worker, next.Look)
+	report, err := w.runner.Poll(context.Background(), next.Worker, next.Look)
 	if err == nil && !answered {
 		err = cottonlanding.ErrAmbiguous
 	}
--- a/life.go
+++ b/life.go
@@ -47,6 +47,6 @@
 	return nil
 }
 
-// IsOtherThan reports whether two births are known and differ. Unequal is another life, and
+// DiffersFrom reports whether two births are known and differ. Unequal is another life, and
 // smaller isn't older.
-func (b Birth) IsOtherThan(other Birth) bool { return b != 0 && other != 0 && b != other }
+func (b Birth) DiffersFrom(other Birth) bool { return b != 0 && other != 0 && b != other }
--- a/life_test.go
+++ b/life_test.go
@@ -9,8 +9,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestLifeIsReadAsWritten: any worker and birth, also an id that holds the separator.
-func TestLifeIsReadAsWritten(t *testing.T) {
+// TestLifeRoundTrip: any worker and birth, also an id that holds the separator.
+func TestLifeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		life := cottonlanding.Life{
 			Worker: cottonlanding.WorkerID(rapid.StringMatching(`[a-z0-9@-]{0,12}`).Draw(t, "Worker")),
--- a/policy.go
+++ b/policy.go
@@ -51,8 +51,8 @@
 	Use Millicores
 }
 
-// AdmissionOrder picks the order in which queued tasks are placed.
-type AdmissionOrder interface {
+// AdmissionPolicy picks the order in which queued tasks are placed.
+type AdmissionPolicy interface {
 	// Order sorts the queued tasks in place, the first to be placed first.
 	Order(queued []TaskView, teams []TeamUsage)
 }
@@ -66,8 +66,8 @@
 	// Weight is by how much a filling task that uses a whole worker makes the serving
 	// task busier, as far as is known.
 	Weight float64
-	// Doubt is the standard error of Weight.
-	Doubt float64
+	// StandardError is the standard error of Weight.
+	StandardError float64
 }
 
 // DisturbancePolicy decides what is assumed of pairs of images while little is known
@@ -83,9 +83,9 @@
 // MixView is what becomes of a worker if a serving task of another image joins those
 // that it has.
 type MixView struct {
-	// Bears counts the filling images that hardly disturb the serving tasks there,
-	// BearsAfter those that would not disturb the new one either.
-	Bears, BearsAfter int
+	// Tolerated counts the filling images that hardly disturb the serving tasks there,
+	// ToleratedAfter those that would not disturb the new one either.
+	Tolerated, ToleratedAfter int
 }
 
 // MixingPolicy picks the workers on which serving tasks of several images may come together.
--- a/run.go
+++ b/run.go
@@ -29,8 +29,8 @@
 	Ticket string
 }
 
-// Look renews a worker's lease and asks what became of its runs.
-type Look struct {
+// Poll renews a worker's lease and asks what became of its runs.
+type Poll struct {
 	// LeaseUntil is as in RunStart; zero only looks.
 	LeaseUntil Reading
 	Epoch      Epoch
@@ -99,8 +99,8 @@
 	Start(ctx context.Context, worker WorkerRef, start RunStart) (Reading, error)
 	// Stop ends a run, and keeps it from starting if it has not come yet.
 	Stop(ctx context.Context, worker WorkerRef, run RunKey, epoch Epoch) error
-	// Look returns what goes on and what has ended.
-	Look(ctx context.Context, worker WorkerRef, look Look) (RunReport, error)
+	// Poll returns what goes on and what has ended.
+	Poll(ctx context.Context, worker WorkerRef, poll Poll) (RunReport, error)
 	// Pace sets the share of its usual speed at which a run works, in percent.
 	Pace(ctx context.Context, worker WorkerRef, run RunKey, percent int, epoch Epoch) error
 }
--- a/suspension.go
+++ b/suspension.go
@@ -15,7 +15,7 @@
 // would believe in a lease that others saw run out. For all but that it is NewClock.
 func NewHostClock() Clock {
 	start := time.Now()
-	return newSuspensionClock(func() (wall, steady time.Duration) {
+	return newSuspensionClock(func() (wall, monotonic time.Duration) {
 		now := time.Now()
 		return now.Round(0).Sub(start.Round(0)), now.Sub(start)
 	}, sinceBoot)
@@ -24,34 +24,34 @@
 // suspension is how far the clock is ahead of the monotonic one, and how far the time of day
 // was when that was found out.
 type suspension struct {
-	ahead time.Duration
-	step  time.Duration
+	suspended time.Duration
+	step      time.Duration
 }
 
 // newSuspensionClock is NewHostClock on given clocks. Asking the system costs a call to it,
 // which the two others don't: it is asked when the time of day has moved against the
 // monotonic clock, as it does over a suspension.
-func newSuspensionClock(read func() (wall, steady time.Duration), sinceBoot func() (time.Duration, bool)) Clock {
-	_, began := read()
-	boot, told := sinceBoot()
-	if !told {
+func newSuspensionClock(read func() (wall, monotonic time.Duration), sinceBoot func() (time.Duration, bool)) Clock {
+	_, monotonicStart := read()
+	boot, ok := sinceBoot()
+	if !ok {
 		return Clock{now: func() Millis {
-			_, steady := read()
-			return FromDuration(steady)
+			_, monotonic := read()
+			return FromDuration(monotonic)
 		}}
 	}
-	zero := boot - began
+	bootOffset := boot - monotonicStart
 	var last atomic.Pointer[suspension]
 	last.Store(&suspension{})
 	return Clock{now: func() Millis {
-		wall, steady := read()
+		wall, monotonic := read()
 		known := last.Load()
-		if step := wall - steady; max(step-known.step, known.step-step) > stepTolerance {
-			if boot, told := sinceBoot(); told {
-				known = &suspension{ahead: max(boot-zero-steady, known.ahead), step: step}
+		if step := wall - monotonic; max(step-known.step, known.step-step) > stepTolerance {
+			if boot, ok := sinceBoot(); ok {
+				known = &suspension{suspended: max(boot-bootOffset-monotonic, known.suspended), step: step}
 				last.Store(known)
 			}
 		}
-		return FromDuration(steady + known.ahead)
+		return FromDuration(monotonic + known.suspended)
 	}}
 }
--- a/suspension_test.go
+++ b/suspension_test.go
@@ -12,25 +12,25 @@
 // clocks are those of a host: the time of day and the one since boot go on while the host is
 // suspended, the monotonic one stands still.
 type clocks struct {
-	wall, steady, boot time.Duration
-	asked              int
+	wall, monotonic, boot time.Duration
+	bootReads             int
 }
 
 func (c *clocks) run(span time.Duration) {
-	c.wall, c.steady, c.boot = c.wall+span, c.steady+span, c.boot+span
+	c.wall, c.monotonic, c.boot = c.wall+span, c.monotonic+span, c.boot+span
 }
 
 func (c *clocks) suspend(span time.Duration) { c.wall, c.boot = c.wall+span, c.boot+span }
 
 func (c *clocks) clock() cottonlanding.Clock {
 	return cottonlanding.NewSuspensionClock(
-		func() (time.Duration, time.Duration) { return c.wall, c.steady },
-		func() (time.Duration, bool) { c.asked++; return c.boot, true })
+		func() (time.Duration, time.Duration) { return c.wall, c.monotonic },
+		func() (time.Duration, bool) { c.bootReads++; return c.boot, true })
 }
 
-// TestSuspendedHostSeesTimePass plays two hosts of which one is suspended for longer than a
+// TestClockCountsSuspension plays two hosts of which one is suspended for longer than a
 // lease: by its own clock it must know so before it does anything.
-func TestSuspendedHostSeesTimePass(t *testing.T) {
+func TestClockCountsSuspension(t *testing.T) {
 	const lease = 6 * cottonlanding.Second
 	suspended, other := &clocks{boot: time.Hour}, &clocks{boot: 2 * time.Hour}
 	one, two := suspended.clock(), other.clock()
@@ -46,8 +46,8 @@
 	require.Greater(t, one.Now(), until, "it believes in a lease that the other saw run out")
 }
 
-// TestStepsOfTheTimeOfDayMoveNothing: they aren't suspensions, whichever way they go.
-func TestStepsOfTheTimeOfDayMoveNothing(t *testing.T) {
+// TestClockIgnoresWallClockSteps: they aren't suspensions, whichever way they go.
+func TestClockIgnoresWallClockSteps(t *testing.T) {
 	host := &clocks{boot: time.Hour}
 	clock := host.clock()
 	for _, step := range []time.Duration{5 * time.Second, -9 * time.Second, time.Millisecond} {
@@ -61,20 +61,20 @@
 	require.Equal(t, 3300*cottonlanding.Millis(1), clock.Now())
 }
 
-// TestTheSystemIsAskedWhenTimeHasMoved: each question is a call to it, and clocks are read
+// TestBootClockReadsAreRare: each question is a call to it, and clocks are read
 // thousands of times a second.
-func TestTheSystemIsAskedWhenTimeHasMoved(t *testing.T) {
+func TestBootClockReadsAreRare(t *testing.T) {
 	host := &clocks{}
 	clock := host.clock()
 	for range 1000 {
 		host.run(time.Millisecond)
 		clock.Now()
 	}
-	require.Equal(t, 1, host.asked)
+	require.Equal(t, 1, host.bootReads)
 }
 
-// TestHostClockFollowsTime reads the real clocks.
-func TestHostClockFollowsTime(t *testing.T) {
+// TestHostClockAdvances reads the real clocks.
+func TestHostClockAdvances(t *testing.T) {
 	clock := cottonlanding.NewHostClock()
 	before := clock.Now()
 	time.Sleep(30 * time.Millisecond)
--- a/table_test.go
+++ b/table_test.go
@@ -8,8 +8,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestKeyIsItsPartitionAndItsName: only the first ':' parts them, and a key needs no partition.
-func TestKeyIsItsPartitionAndItsName(t *testing.T) {
+// TestKeySplits: only the first ':' parts them, and a key needs no partition.
+func TestKeySplits(t *testing.T) {
 	for key, want := range map[cottonlanding.Key][2]string{
 		"P:a/1":   {"P", "a/1"},
 		"P:a:b":   {"P", "a:b"},
--- a/tableclock.go
+++ b/tableclock.go
@@ -6,24 +6,26 @@
 // TableReading is what the table's clock showed in one of its answers, which was asked for and came at two instants of
 // the reader's own clock.
 type TableReading struct {
-	Shown       TableInstant
-	Asked, Came Millis
+	Shown                   TableInstant
+	RequestedAt, ReceivedAt Millis
 }
 
-// tableDrift bounds the part, as a divisor, by which the table's clock and the reader's run apart.
-const tableDrift = 50
+// tableDriftDivisor bounds the part, as a divisor, by which the table's clock and the reader's run apart.
+const tableDriftDivisor = 50
 
 // Latest returns what the table's clock shows at most at an instant of the reader's clock.
 func (r TableReading) Latest(at Millis) TableInstant {
-	passed := max(0, at-r.Asked)
-	return r.Shown + TableInstant(passed+passed/tableDrift)
+	passed := max(0, at-r.RequestedAt)
+	return r.Shown + TableInstant(passed+passed/tableDriftDivisor)
 }
 
 // Until returns the instant of the reader's clock by which the table's clock surely shows as much.
 func (r TableReading) Until(shown TableInstant) Millis {
 	left := max(0, Millis(shown-r.Shown))
-	return r.Came + left + left/tableDrift
+	return r.ReceivedAt + left + left/tableDriftDivisor
 }
 
 // Error returns by how much the reading may be off at an instant of the reader's clock.
-func (r TableReading) Error(now Millis) Millis { return r.Came - r.Asked + (now-r.Came)/tableDrift }
+func (r TableReading) Error(now Millis) Millis {
+	return r.ReceivedAt - r.RequestedAt + (now-r.ReceivedAt)/tableDriftDivisor
+}
--- a/tableclock_test.go
+++ b/tableclock_test.go
@@ -9,9 +9,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestTableInstantsAreNeverEarly: an instant that one process writes by the table's clock, and another reads, is never earlier by the
+// TestTableInstantsAreConservative: an instant that one process writes by the table's clock, and another reads, is never earlier by the
 // other's clock than it was meant, however slow the answers are and however the clocks drift.
-func TestTableInstantsAreNeverEarly(t *testing.T) {
+func TestTableInstantsAreConservative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const begins, shownAtStart = 100_000, 7_000_000 // of true time; all clocks but the table's are offset from it
 		drift := rapid.IntRange(-9, 9).Draw(t, "DriftPerMille")
@@ -20,16 +20,16 @@
 			return shownAtStart + cottonlanding.TableInstant(passed+passed*cottonlanding.Millis(drift)/1000)
 		}
 		reading := func(name string, at, offset cottonlanding.Millis) cottonlanding.TableReading {
-			out := cottonlanding.Millis(rapid.IntRange(0, 2000).Draw(t, name+"Out"))
-			back := cottonlanding.Millis(rapid.IntRange(0, 2000).Draw(t, name+"Back"))
-			return cottonlanding.TableReading{Shown: shown(at), Asked: at - out - offset, Came: at + back - offset}
+			requestDelay := cottonlanding.Millis(rapid.IntRange(0, 2000).Draw(t, name+"Out"))
+			responseDelay := cottonlanding.Millis(rapid.IntRange(0, 2000).Draw(t, name+"Back"))
+			return cottonlanding.TableReading{Shown: shown(at), RequestedAt: at - requestDelay - offset, ReceivedAt: at + responseDelay - offset}
 		}
 		const writerOffset, readerOffset = 12_345, -54_321
 		written := begins + cottonlanding.Millis(rapid.IntRange(0, 60_000).Draw(t, "Written"))
 		bound := written + cottonlanding.Millis(rapid.IntRange(0, 20_000).Draw(t, "Bound"))
 		read := written + cottonlanding.Millis(rapid.IntRange(0, 30_000).Draw(t, "Read"))
-		kept := reading("Writer", written, writerOffset).Latest(bound - writerOffset)
-		until := reading("Reader", read, readerOffset).Until(kept) + readerOffset
+		stored := reading("Writer", written, writerOffset).Latest(bound - writerOffset)
+		until := reading("Reader", read, readerOffset).Until(stored) + readerOffset
 		require.GreaterOrEqual(t, until+2, bound) // all are whole milliseconds
 	})
 }
