--- a/internal/coordination/committer/committer.go
+++ b/internal/coordination/committer/committer.go
@@ -24,12 +24,12 @@
 
 // Defaults of the options.
 const (
-	defaultSpacing  = 20 * cottonlanding.Millis(1)
-	defaultWrites   = 500
-	defaultCapacity = 4096
-	defaultTimeout  = 2 * cottonlanding.Second
-	firstPause      = 20 * cottonlanding.Millis(1)
-	longestPause    = cottonlanding.Second
+	defaultSpacing   = 20 * cottonlanding.Millis(1)
+	defaultMaxWrites = 500
+	defaultCapacity  = 4096
+	defaultTimeout   = 2 * cottonlanding.Second
+	minRetryInterval = 20 * cottonlanding.Millis(1)
+	maxRetryInterval = cottonlanding.Second
 )
 
 // Proposal is a set of writes that takes effect as a whole or not at all.
@@ -45,12 +45,12 @@
 
 // Committer sends proposals in groups.
 type Committer struct {
-	table   cottonlanding.Table
-	clock   cottonlanding.Clock
-	lane    cottonlanding.Key
-	spacing atomic.Int64 // in milliseconds
-	writes  int
-	timeout cottonlanding.Millis
+	table     cottonlanding.Table
+	clock     cottonlanding.Clock
+	lane      cottonlanding.Key
+	spacing   atomic.Int64 // in milliseconds
+	maxWrites int
+	timeout   cottonlanding.Millis
 
 	ring   *buffer.Ring[Proposal]
 	stop   chan struct{}
@@ -60,7 +60,7 @@
 
 	// laneVersion is used by the committer's goroutine only.
 	laneVersion cottonlanding.Version
-	held        []Proposal
+	pending     []Proposal
 
 	stalled atomic.Bool
 	counts  counters
@@ -70,7 +70,7 @@
 	transactions atomic.Int64
 	proposals    atomic.Int64
 	conflicts    atomic.Int64
-	lost         atomic.Int64
+	lostAnswers  atomic.Int64
 	resent       atomic.Int64
 }
 
@@ -98,9 +98,9 @@
 	return func(c *Committer) { c.SetSpacing(spacing) }
 }
 
-// WithWrites bounds the row writes of one transaction.
-func WithWrites(writes int) Option {
-	return func(c *Committer) { c.writes = writes }
+// WithMaxWrites bounds the row writes of one transaction.
+func WithMaxWrites(maxWrites int) Option {
+	return func(c *Committer) { c.maxWrites = maxWrites }
 }
 
 // WithTimeout bounds one call of the table.
@@ -112,16 +112,16 @@
 func New(table cottonlanding.Table, clock cottonlanding.Clock, lane cottonlanding.Key, options ...Option) *Committer {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Committer{
-		table:   table,
-		clock:   clock,
-		lane:    lane,
-		writes:  defaultWrites,
-		timeout: defaultTimeout,
-		ring:    buffer.New[Proposal](defaultCapacity),
-		stop:    make(chan struct{}),
-		ended:   make(chan struct{}),
-		ctx:     ctx,
-		cancel:  cancel,
+		table:     table,
+		clock:     clock,
+		lane:      lane,
+		maxWrites: defaultMaxWrites,
+		timeout:   defaultTimeout,
+		ring:      buffer.New[Proposal](defaultCapacity),
+		stop:      make(chan struct{}),
+		ended:     make(chan struct{}),
+		ctx:       ctx,
+		cancel:    cancel,
 	}
 	c.SetSpacing(defaultSpacing)
 	for _, option := range options {
@@ -164,7 +164,7 @@
 		Transactions: c.counts.transactions.Load(),
 		Proposals:    c.counts.proposals.Load(),
 		Conflicts:    c.counts.conflicts.Load(),
-		LostAnswers:  c.counts.lost.Load(),
+		LostAnswers:  c.counts.lostAnswers.Load(),
 		Resent:       c.counts.resent.Load(),
 	}
 }
@@ -184,7 +184,7 @@
 	defer close(c.ended)
 	last := -c.spacingNow()
 	for {
-		group := c.gather(last)
+		group := c.nextGroup(last)
 		if group == nil {
 			return
 		}
@@ -193,80 +193,80 @@
 	}
 }
 
-// gather waits for the first proposal, lets others join until the spacing is
+// nextGroup waits for the first proposal, lets others join until the spacing is
 // over, and returns those that can go into one transaction, or nil at the end.
-func (c *Committer) gather(last cottonlanding.Millis) []Proposal {
-	if len(c.held) == 0 && !c.waitFirst() {
+func (c *Committer) nextGroup(last cottonlanding.Millis) []Proposal {
+	if len(c.pending) == 0 && !c.awaitFirst() {
 		return nil
 	}
 	if wait := last + c.spacingNow() - c.clock.Now(); wait > 0 {
 		c.sleep(wait)
 	}
-	c.drain()
-	return c.pick()
+	c.takeQueued()
+	return c.selectCompatible()
 }
 
-// waitFirst blocks until a proposal is held; false means closed and empty.
-func (c *Committer) waitFirst() bool {
+// awaitFirst blocks until a proposal is held; false means closed and empty.
+func (c *Committer) awaitFirst() bool {
 	select {
 	case proposal := <-c.ring.Items():
-		c.held = append(c.held, proposal)
+		c.pending = append(c.pending, proposal)
 		return true
 	case <-c.stop:
 	}
 	select {
 	case proposal := <-c.ring.Items():
-		c.held = append(c.held, proposal)
+		c.pending = append(c.pending, proposal)
 		return true
 	default:
 		return false
 	}
 }
 
-func (c *Committer) drain() {
-	for len(c.held) < c.writes {
+func (c *Committer) takeQueued() {
+	for len(c.pending) < c.maxWrites {
 		select {
 		case proposal := <-c.ring.Items():
-			c.held = append(c.held, proposal)
+			c.pending = append(c.pending, proposal)
 		default:
 			return
 		}
 	}
 }
 
-// pick takes proposals in order while they touch different rows and fit the
+// selectCompatible takes proposals in order while they touch different rows and fit the
 // bound; the others stay held for the next transaction.
-func (c *Committer) pick() []Proposal {
-	touched := make(map[cottonlanding.Key]bool)
+func (c *Committer) selectCompatible() []Proposal {
+	usedKeys := make(map[cottonlanding.Key]bool)
 	var picked, rest []Proposal
 	size := 0
-	for _, proposal := range c.held {
-		full := len(picked) > 0 && size+len(proposal.Writes) > c.writes
-		if full || touches(touched, proposal) {
+	for _, proposal := range c.pending {
+		full := len(picked) > 0 && size+len(proposal.Writes) > c.maxWrites
+		if full || overlaps(usedKeys, proposal) {
 			rest = append(rest, proposal)
-			mark(touched, proposal)
+			addKeys(usedKeys, proposal)
 			continue
 		}
 		picked = append(picked, proposal)
 		size += len(proposal.Writes)
-		mark(touched, proposal)
+		addKeys(usedKeys, proposal)
 	}
-	c.held = rest
+	c.pending = rest
 	return picked
 }
 
-func touches(touched map[cottonlanding.Key]bool, proposal Proposal) bool {
+func overlaps(usedKeys map[cottonlanding.Key]bool, proposal Proposal) bool {
 	for _, write := range proposal.Writes {
-		if touched[write.Key] {
+		if usedKeys[write.Key] {
 			return true
 		}
 	}
 	return false
 }
 
-func mark(touched map[cottonlanding.Key]bool, proposal Proposal) {
+func addKeys(usedKeys map[cottonlanding.Key]bool, proposal Proposal) {
 	for _, write := range proposal.Writes {
-		touched[write.Key] = true
+		usedKeys[write.Key] = true
 	}
 }
 
@@ -274,23 +274,23 @@
 func (c *Committer) commit(group []Proposal) {
 	c.counts.proposals.Add(int64(len(group)))
 	for len(group) > 0 {
-		receipt, err := c.settle(c.transaction(group))
+		receipt, err := c.resolve(c.transaction(group))
 		switch {
 		case err == nil:
 			c.laneVersion = receipt.Version
-			finish(group, receipt, nil)
+			complete(group, receipt, nil)
 			return
 		case errors.Is(err, cottonlanding.ErrConflict):
 			c.counts.conflicts.Add(1)
 			group = c.dropConflicting(group)
 		default:
-			finish(group, cottonlanding.Receipt{}, err)
+			complete(group, cottonlanding.Receipt{}, err)
 			return
 		}
 	}
 }
 
-func finish(group []Proposal, receipt cottonlanding.Receipt, err error) {
+func complete(group []Proposal, receipt cottonlanding.Receipt, err error) {
 	for _, proposal := range group {
 		proposal.Done(receipt, err)
 	}
@@ -318,22 +318,22 @@
 func (c *Committer) dropConflicting(group []Proposal) []Proposal {
 	versions, err := c.versions(group)
 	if err != nil {
-		finish(group, cottonlanding.Receipt{}, err)
+		complete(group, cottonlanding.Receipt{}, err)
 		return nil
 	}
 	if versions[c.lane] != c.laneVersion {
-		finish(group, cottonlanding.Receipt{}, fmt.Errorf("lane %s was taken over: %w", c.lane, cottonlanding.ErrConflict))
+		complete(group, cottonlanding.Receipt{}, fmt.Errorf("lane %s was taken over: %w", c.lane, cottonlanding.ErrConflict))
 		return nil
 	}
-	var kept []Proposal
+	var remaining []Proposal
 	for _, proposal := range group {
 		if err := mismatch(versions, proposal); err != nil {
 			proposal.Done(cottonlanding.Receipt{}, err)
 			continue
 		}
-		kept = append(kept, proposal)
+		remaining = append(remaining, proposal)
 	}
-	return kept
+	return remaining
 }
 
 func mismatch(versions map[cottonlanding.Key]cottonlanding.Version, proposal Proposal) error {
@@ -364,7 +364,7 @@
 			}
 		}
 	}
-	pause := firstPause
+	retryInterval := minRetryInterval
 	for {
 		rows, err := c.read(keys)
 		if err == nil {
@@ -374,10 +374,10 @@
 			}
 			return out, nil
 		}
-		if !c.sleep(pause) {
-			return nil, c.abandoned(false)
+		if !c.sleep(retryInterval) {
+			return nil, c.closedError(false)
 		}
-		pause = min(2*pause, longestPause)
+		retryInterval = min(2*retryInterval, maxRetryInterval)
 	}
 }
 
--- a/internal/coordination/committer/committer_test.go
+++ b/internal/coordination/committer/committer_test.go
@@ -32,7 +32,7 @@
 type step struct {
 	wait    time.Duration
 	counter int
-	foreign bool
+	byRival bool
 }
 
 // script is what one run does, drawn before it starts.
@@ -47,7 +47,7 @@
 		s.steps = append(s.steps, step{
 			wait:    time.Duration(rapid.IntRange(0, 200).Draw(t, "wait")) * time.Millisecond,
 			counter: rapid.IntRange(0, 4).Draw(t, "counter"),
-			foreign: rapid.IntRange(0, 9).Draw(t, "foreign") == 0,
+			byRival: rapid.IntRange(0, 9).Draw(t, "foreign") == 0,
 		})
 	}
 	faults := rapid.IntRange(0, 60).Draw(t, "faults")
@@ -65,8 +65,8 @@
 	err   error
 }
 
-// replaced is a state of a row that a write built on.
-type replaced struct {
+// baseState is a state of a row that a write built on.
+type baseState struct {
 	key     cottonlanding.Key
 	version cottonlanding.Version
 }
@@ -90,20 +90,20 @@
 	return receipt, err
 }
 
-// TestEveryProposalTakesEffectOnceOrNever compares what proposers were told with
+// TestProposalTakesEffectAtMostOnce compares what proposers were told with
 // what the table went through, under lost answers and late copies.
-func TestEveryProposalTakesEffectOnceOrNever(t *testing.T) {
+func TestProposalTakesEffectAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScript(rt)
 		var outcomes []*outcome
 		h := &history{Keeper: keeper.New(), values: make(map[string]int)}
-		synctest.Test(t, func(*testing.T) { outcomes = play(s, h) })
-		heirs := make(map[replaced]string)
+		synctest.Test(t, func(*testing.T) { outcomes = simulate(s, h) })
+		successors := make(map[baseState]string)
 		for _, o := range outcomes {
-			base := replaced{o.write.Key, o.write.Expect}
+			base := baseState{o.write.Key, o.write.Expect}
 			if o.err == nil {
-				require.Empty(rt, heirs[base], "%s and %s replaced the same state of %s", heirs[base], o.value, base.key)
-				heirs[base] = o.value
+				require.Empty(rt, successors[base], "%s and %s replaced the same state of %s", successors[base], o.value, base.key)
+				successors[base] = o.value
 			}
 			require.Equal(rt, 1, o.calls, "%s was answered %d times", o.value, o.calls)
 			effects := h.values[o.value]
@@ -117,7 +117,7 @@
 	})
 }
 
-func play(s script, h *history) []*outcome {
+func simulate(s script, h *history) []*outcome {
 	table := faulter.NewTable(h, faulter.Script(s.fates))
 	c := committer.New(table, cottonlanding.NewClock(), "Lane", committer.WithSpacing(50))
 	var outcomes []*outcome
@@ -126,7 +126,7 @@
 		key, value := cottonlanding.Key(fmt.Sprintf("Counter/%d", st.counter)), fmt.Sprintf("value-%d", i)
 		write := cottonlanding.Write{Key: key, Expect: versionOf(h, key), Value: []byte(value)}
 		o := &outcome{write: write, value: value}
-		if st.foreign {
+		if st.byRival {
 			_, _ = h.Commit(context.Background(), cottonlanding.Transaction{Writes: []cottonlanding.Write{write}}) // a rival
 			continue
 		}
@@ -172,7 +172,7 @@
 	})
 }
 
-func TestProposalIntoSilenceIsSentAtOnce(t *testing.T) {
+func TestIdleCommitterSendsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := committer.New(keeper.New(), cottonlanding.NewClock(), "Lane", committer.WithSpacing(200))
 		defer c.Close(context.Background())
@@ -188,7 +188,7 @@
 	})
 }
 
-func TestClosedCommitterTellsWhatItKnows(t *testing.T) {
+func TestCloseReportsOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := faulter.NewTable(keeper.New(), func() faulter.Fate { return faulter.Unreachable })
 		c := committer.New(table, cottonlanding.NewClock(), "Lane")
@@ -205,7 +205,7 @@
 	})
 }
 
-func TestSpacingCanGrow(t *testing.T) {
+func TestSpacingIncreases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := keeper.New()
 		c := committer.New(table, cottonlanding.NewClock(), "Lane", committer.WithSpacing(10))
--- a/internal/coordination/committer/settle.go
+++ b/internal/coordination/committer/resolve.go
@@ -8,12 +8,12 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// settle sends one transaction until it took effect or never can. The error is
+// resolve sends one transaction until it took effect or never can. The error is
 // ErrConflict, or what Proposal.Done tells of a closed committer.
-func (c *Committer) settle(transaction cottonlanding.Transaction) (cottonlanding.Receipt, error) {
+func (c *Committer) resolve(transaction cottonlanding.Transaction) (cottonlanding.Receipt, error) {
 	c.counts.transactions.Add(1)
-	pause := firstPause
-	doubtful := false
+	retryInterval := minRetryInterval
+	ambiguous := false
 	for try := 0; ; try++ {
 		if try > 0 {
 			c.counts.resent.Add(1)
@@ -25,31 +25,31 @@
 			return receipt, nil
 		case errors.Is(err, cottonlanding.ErrConflict):
 			c.stalled.Store(false)
-			if !doubtful {
+			if !ambiguous {
 				return receipt, err
 			}
-			return c.lookAgain(transaction.ID)
+			return c.resolveConflict(transaction.ID)
 		case errors.Is(err, cottonlanding.ErrAmbiguous):
-			c.counts.lost.Add(1)
-			doubtful = true
+			c.counts.lostAnswers.Add(1)
+			ambiguous = true
 		}
 		c.stalled.Store(true)
-		if !c.sleep(pause) {
-			return cottonlanding.Receipt{}, c.abandoned(doubtful)
+		if !c.sleep(retryInterval) {
+			return cottonlanding.Receipt{}, c.closedError(ambiguous)
 		}
-		pause = min(2*pause, longestPause)
-		if !doubtful {
+		retryInterval = min(2*retryInterval, maxRetryInterval)
+		if !ambiguous {
 			continue
 		}
-		if receipt, found := c.lookBack(transaction.ID); found {
+		if receipt, found := c.findCommitted(transaction.ID); found {
 			c.stalled.Store(false)
 			return receipt, nil
 		}
 	}
 }
 
-func (c *Committer) abandoned(doubtful bool) error {
-	if doubtful {
+func (c *Committer) closedError(ambiguous bool) error {
+	if ambiguous {
 		return fmt.Errorf("committer closed while in doubt: %w", cottonlanding.ErrAmbiguous)
 	}
 	return fmt.Errorf("committer closed: %w", cottonlanding.ErrUnavailable)
@@ -61,10 +61,10 @@
 	return c.table.Commit(ctx, transaction)
 }
 
-// lookAgain settles a conflict that may be due to an earlier copy of the same
+// resolveConflict settles a conflict that may be due to an earlier copy of the same
 // transaction.
-func (c *Committer) lookAgain(id cottonlanding.TransactionID) (cottonlanding.Receipt, error) {
-	pause := firstPause
+func (c *Committer) resolveConflict(id cottonlanding.TransactionID) (cottonlanding.Receipt, error) {
+	retryInterval := minRetryInterval
 	for {
 		row, err := c.readLane()
 		if err == nil {
@@ -73,14 +73,14 @@
 			}
 			return cottonlanding.Receipt{}, cottonlanding.ErrConflict
 		}
-		if !c.sleep(pause) {
-			return cottonlanding.Receipt{}, c.abandoned(true)
+		if !c.sleep(retryInterval) {
+			return cottonlanding.Receipt{}, c.closedError(true)
 		}
-		pause = min(2*pause, longestPause)
+		retryInterval = min(2*retryInterval, maxRetryInterval)
 	}
 }
 
-func (c *Committer) lookBack(id cottonlanding.TransactionID) (cottonlanding.Receipt, bool) {
+func (c *Committer) findCommitted(id cottonlanding.TransactionID) (cottonlanding.Receipt, bool) {
 	row, err := c.readLane()
 	if err != nil || row.Transaction != id {
 		return cottonlanding.Receipt{}, false
--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -23,8 +23,8 @@
 	headKey           cottonlanding.Key = "Config/Head"
 	generationsPrefix cottonlanding.Key = "Config/Generations/"
 	readTimeout                         = 2 * cottonlanding.Second
-	// keptGenerations is how many generations stay readable in the table.
-	keptGenerations = 20
+	// retainedGenerations is how many generations stay readable in the table.
+	retainedGenerations = 20
 )
 
 // head is the value of the head row.
@@ -59,10 +59,10 @@
 	committer *committer.Committer
 	changed   func(Snapshot)
 
-	mu      sync.Mutex
-	current Snapshot
-	polls   int64
-	fails   int64
+	mu       sync.Mutex
+	current  Snapshot
+	polls    int64
+	failures int64
 
 	duty *repeater.Repeater
 }
@@ -78,7 +78,7 @@
 // twice at a time, with each newer generation that it sees.
 func New(table cottonlanding.Table, committer *committer.Committer, poll cottonlanding.Millis, changed func(Snapshot)) *Follower {
 	f := &Follower{table: table, committer: committer, changed: changed}
-	f.duty = repeater.New(poll, f.readOnce)
+	f.duty = repeater.New(poll, f.refresh)
 	return f
 }
 
@@ -93,7 +93,7 @@
 func (f *Follower) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return State{Generation: f.current.Generation, Polls: f.polls, Failures: f.fails}
+	return State{Generation: f.current.Generation, Polls: f.polls, Failures: f.failures}
 }
 
 // Offer takes in a generation that another process has seen accepted.
@@ -113,7 +113,7 @@
 // Close ends the follower.
 func (f *Follower) Close() { f.duty.Close() }
 
-func (f *Follower) readOnce(ctx context.Context) {
+func (f *Follower) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout.Duration())
 	defer cancel()
 	newest, _, err := f.readHead(ctx)
@@ -124,7 +124,7 @@
 	defer f.mu.Unlock()
 	f.polls++
 	if err != nil {
-		f.fails++
+		f.failures++
 	}
 }
 
@@ -163,7 +163,7 @@
 		return 0, fmt.Errorf("read the newest generation: %w", err)
 	}
 	if generation != expected {
-		return f.settleRace(ctx, text, expected)
+		return f.resolveRace(ctx, text, expected)
 	}
 	next := expected + 1
 	writes, err := f.writes(ctx, text, next, version)
@@ -181,7 +181,7 @@
 		return 0, fmt.Errorf("%w: %w", cottonlanding.ErrAmbiguous, ctx.Err())
 	}
 	if errors.Is(err, cottonlanding.ErrConflict) {
-		return f.settleRace(ctx, text, expected)
+		return f.resolveRace(ctx, text, expected)
 	}
 	if err != nil {
 		return 0, err
@@ -199,10 +199,10 @@
 		{Key: headKey, Expect: version, Value: value},
 		{Key: generationKey(next), Value: text},
 	}
-	if next <= keptGenerations {
+	if next <= retainedGenerations {
 		return writes, nil
 	}
-	rows, err := f.table.Read(ctx, generationKey(next-keptGenerations))
+	rows, err := f.table.Read(ctx, generationKey(next-retainedGenerations))
 	if err != nil {
 		return nil, fmt.Errorf("read an old generation: %w", err)
 	}
@@ -212,8 +212,8 @@
 	return writes, nil
 }
 
-// settleRace finds out whether the text itself or another one came first.
-func (f *Follower) settleRace(ctx context.Context, text []byte, expected cottonlanding.Generation) (cottonlanding.Generation, error) {
+// resolveRace finds out whether the text itself or another one came first.
+func (f *Follower) resolveRace(ctx context.Context, text []byte, expected cottonlanding.Generation) (cottonlanding.Generation, error) {
 	newest, _, err := f.readHead(ctx)
 	if err != nil {
 		return 0, fmt.Errorf("read the newest generation: %w", err)
--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -54,9 +54,9 @@
 	texts       map[cottonlanding.Generation]string
 }
 
-// TestAcceptedConfigurationsNeverRevertOrFork races operators on hosts whose
+// TestAcceptedConfigurationsStayLinear races operators on hosts whose
 // table loses answers, delays writes and fails.
-func TestAcceptedConfigurationsNeverRevertOrFork(t *testing.T) {
+func TestAcceptedConfigurationsStayLinear(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var applies []apply
 		for range rapid.IntRange(1, 15).Draw(rt, "applies") {
@@ -69,14 +69,14 @@
 		fates := rapid.SliceOfN(rapid.Map(rapid.IntRange(0, faulter.FateCount-1), toFate), 0, 80).Draw(rt, "fates")
 		var results []result
 		var seen []*observed
-		synctest.Test(t, func(*testing.T) { results, seen = race(applies, fates) })
-		check(rt, results, seen)
+		synctest.Test(t, func(*testing.T) { results, seen = simulate(applies, fates) })
+		checkResults(rt, results, seen)
 	})
 }
 
 func toFate(number int) faulter.Fate { return faulter.Fate(number) }
 
-func race(applies []apply, fates []faulter.Fate) ([]result, []*observed) {
+func simulate(applies []apply, fates []faulter.Fate) ([]result, []*observed) {
 	table := keeper.New()
 	faulty := faulter.NewTable(table, faulter.Script(fates))
 	clock := cottonlanding.NewClock()
@@ -120,7 +120,7 @@
 	return results, seen
 }
 
-func check(t require.TestingT, results []result, seen []*observed) {
+func checkResults(t require.TestingT, results []result, seen []*observed) {
 	newest := cottonlanding.Generation(0)
 	texts := make(map[cottonlanding.Generation]string)
 	for _, o := range seen {
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestFollowerTakesOnlyNewerGenerationsFromPeers(t *testing.T) {
+func TestOfferIgnoresOlderGenerations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := faulter.NewTable(keeper.New(), func() faulter.Fate { return faulter.Unreachable })
 		c := committer.New(table, cottonlanding.NewClock(), "Lane")
--- a/internal/coordination/holder/ended_test.go
+++ b/internal/coordination/holder/ended_test.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// leaseLeft is what a lease of service has left when its owner is killed: it lasts six seconds and is renewed
+	// leaseRemaining is what a lease of service has left when its owner is killed: it lasts six seconds and is renewed
 	// each quarter of that.
-	leaseLeft = 4500 * cottonlanding.Millis(1)
-	// callsToRenew is how many calls of the table a new owner makes one after the other before it renews leases:
+	leaseRemaining = 4500 * cottonlanding.Millis(1)
+	// callsBeforeRenewal is how many calls of the table a new owner makes one after the other before it renews leases:
 	// two for the fence, two for the rows.
-	callsToRenew = 4
-	// seenAfter is how long after a process was killed those that watch it know.
-	seenAfter = 60 * time.Millisecond
+	callsBeforeRenewal = 4
+	// detectionDelay is how long after a process was killed those that watch it know.
+	detectionDelay = 60 * time.Millisecond
 )
 
-// slow makes each call of the table take a while for all processes.
-func (f *fleet) slow(call time.Duration) {
+// delayCalls makes each call of the table take a while for all processes.
+func (f *fleet) delayCalls(call time.Duration) {
 	for _, p := range f.processes {
-		p.counted.set(func(t *table) { t.slow = call })
+		p.counted.set(func(t *table) { t.delayCalls = call })
 	}
 }
 
@@ -39,7 +39,7 @@
 	}
 	killed.close()
 	f.processes = append(f.processes[:number:number], f.processes[number+1:]...)
-	time.Sleep(seenAfter)
+	time.Sleep(detectionDelay)
 	for cell, version := range versions {
 		for _, watcher := range f.processes[:2] {
 			if version > 0 {
@@ -49,17 +49,17 @@
 	}
 }
 
-// TestOwnersAreReplacedBeforeLeasesRunOut: with a slow table a killed owner was missed only once its last beat was over
+// TestOwnersReplacedBeforeLeasesExpire: with a slow table a killed owner was missed only once its last beat was over
 // four seconds old, so that its workers' leases ran out and every lasting task of its cells was interrupted.
 // However long calls take up to 400 ms, and whenever the owner is killed, the next one renews leases
 // before they run out.
-func TestOwnersAreReplacedBeforeLeasesRunOut(t *testing.T) {
+func TestOwnersReplacedBeforeLeasesExpire(t *testing.T) {
 	for _, call := range []cottonlanding.Millis{4, 149, 170, 300, 400} {
 		for instant := range 8 {
 			t.Run(fmt.Sprintf("%s_%d", call, instant), func(t *testing.T) {
 				const cells, large = 6, 8
-				playFleet(t, cells, large, 2, func(f *fleet) {
-					f.slow(call.Duration())
+				simulateFleet(t, cells, large, 2, func(f *fleet) {
+					f.delayCalls(call.Duration())
 					time.Sleep(5*time.Second + time.Duration(instant)*87*time.Millisecond)
 					victim := f.owner(instant % cells)
 					require.GreaterOrEqual(t, victim, 0)
@@ -74,9 +74,9 @@
 								missing++
 							}
 						}
-						without := f.clock.Now() - killedAt + callsToRenew*call
+						without := f.clock.Now() - killedAt + callsBeforeRenewal*call
 						longest = max(longest, without)
-						require.Less(t, without, leaseLeft, "%d cells have no owner", missing)
+						require.Less(t, without, leaseRemaining, "%d cells have no owner", missing)
 					}
 					t.Logf("renewed after %s", longest)
 				})
@@ -85,10 +85,10 @@
 	}
 }
 
-// TestOwnerThatGoesOnIsKept: a host may refuse connections while its process owns cells. Its beats go on, and nobody
+// TestLiveOwnerMarkedEndedKeepsCell: a host may refuse connections while its process owns cells. Its beats go on, and nobody
 // takes its cells for longer than the table refuses that.
-func TestOwnerThatGoesOnIsKept(t *testing.T) {
-	playFleet(t, 6, 8, 2, func(f *fleet) {
+func TestLiveOwnerMarkedEndedKeepsCell(t *testing.T) {
+	simulateFleet(t, 6, 8, 2, func(f *fleet) {
 		const cell = 0
 		owner := f.owner(cell)
 		before := f.processes[owner].holders[cell].View()
--- a/internal/coordination/holder/holder.go
+++ b/internal/coordination/holder/holder.go
@@ -34,45 +34,45 @@
 	ownerRow   = "Owner"
 	beatRow    = "Beat"
 	requestRow = "Request"
-	// gapFactor bounds the time that counts between two reads, in polls: a reader
+	// maxGapPolls bounds the time that counts between two reads, in polls: a reader
 	// that was paused must not take its own pause for the owner's.
-	gapFactor = 3
-	// shareDivisor is the part of a poll by which a look may come earlier than it is due,
+	maxGapPolls = 3
+	// earlyReadDivisor is the part of a poll by which a look may come earlier than it is due,
 	// since steps aren't on time to the millisecond.
-	shareDivisor = 2
-	// looksPerCell is how many rest polls there are for each cell between two looks of a
+	earlyReadDivisor = 2
+	// restPollsPerCell is how many rest polls there are for each cell between two looks of a
 	// process that owns none: a look takes two readings of all cells, so that one with many
 	// cells reads as much as one with one cell.
-	looksPerCell = 2
-	// marginDivisor lengthens the time to live by 1/10 against clock drift.
-	marginDivisor = 10
-	// releasePause is the pause before a release that failed is tried again.
-	releasePause = 50 * cottonlanding.Millis(1)
+	restPollsPerCell = 2
+	// driftMarginDivisor lengthens the time to live by 1/10 against clock drift.
+	driftMarginDivisor = 10
+	// releaseRetryInterval is the pause before a release that failed is tried again.
+	releaseRetryInterval = 50 * cottonlanding.Millis(1)
 )
 
 // Dependencies are what a holder works with.
 type Dependencies struct {
 	Table cottonlanding.Table
-	// Roll tells who owns the cells, Reader reads the beats of some.
-	Roll   *Roll
-	Reader *Reader
-	Clock  cottonlanding.Clock
-	Log    *slog.Logger
+	// Watcher tells who owns the cells, Reader reads the beats of some.
+	Watcher *Watcher
+	Reader  *Reader
+	Clock   cottonlanding.Clock
+	Log     *slog.Logger
 	// Changed is called from one goroutine whenever the owner changes.
 	Changed func(View)
-	// Asked is called from the same when a member with more room for the cell asks this
+	// CellRequested is called from the same when a member with more room for the cell asks this
 	// owner for it, which should then Yield.
-	Asked func(Member)
+	CellRequested func(Member)
 	// Owned counts the cells that this process owns, OwnedBy those of any, as far as is
 	// known here, Cells all that there are.
 	Owned   func() int
 	OwnedBy func(cottonlanding.SessionID) int
 	Cells   func() int
-	// Settled reports whether this process has heard of all cells what it waits for before
+	// CellsKnown reports whether this process has heard of all cells what it waits for before
 	// it takes calls.
-	Settled func() bool
-	// Away reports whether the cell's workers are of another data centre than this member.
-	Away func() bool
+	CellsKnown func() bool
+	// Remote reports whether the cell's workers are of another data centre than this member.
+	Remote func() bool
 	// Report returns what an owner tells of its cell with each beat.
 	Report func() []byte
 }
@@ -90,11 +90,11 @@
 	view       View
 	validUntil cottonlanding.Millis
 	leaving    bool
-	// lastCall is how long the last call of the table took that says how slow it is.
-	lastCall cottonlanding.Millis
+	// lastCallTime is how long the last call of the table took that says how slow it is.
+	lastCallTime cottonlanding.Millis
 	// connected says that the last call succeeded, calledAt is when that was known.
-	connected bool
-	calledAt  cottonlanding.Millis
+	connected  bool
+	lastCallAt cottonlanding.Millis
 	// endedVersion is the version of the owner row whose owner's process was seen to have ended, at endedAt.
 	endedVersion cottonlanding.Version
 	endedAt      cottonlanding.Millis
@@ -104,21 +104,21 @@
 	// beatTTL is the time to live that the last beat row seen asks for.
 	beatTTL   cottonlanding.Millis
 	beatSince cottonlanding.Millis
-	// aliveAt is when the owner was last known to be alive: its beat moved between two
+	// ownerAliveAt is when the owner was last known to be alive: its beat moved between two
 	// readings, or it has just become the owner.
-	aliveAt cottonlanding.Millis
-	// heard is the version of the owner row for which a request was passed on, refused
+	ownerAliveAt cottonlanding.Millis
+	// forwardedFor is the version of the owner row for which a request was passed on, undecodable
 	// that of one that can't be read.
-	heard, refused cottonlanding.Version
-	// ownerSince is when the present owner row was first seen.
-	ownerSince cottonlanding.Millis
-	// lastSent is when the last reading that this holder has seen was asked for, lastRead
+	forwardedFor, undecodable cottonlanding.Version
+	// ownerRowSince is when the present owner row was first seen.
+	ownerRowSince cottonlanding.Millis
+	// lastReadSentAt is when the last reading that this holder has seen was asked for, lastReadAt
 	// when it came.
-	lastSent, lastRead cottonlanding.Millis
-	// wake runs the duty when this member is due to take a cell without an owner.
-	wake *time.Timer
-	// nudged is when a reading was last asked for out of turn.
-	nudged atomic.Int64
+	lastReadSentAt, lastReadAt cottonlanding.Millis
+	// takeOverTimer runs the duty when this member is due to take a cell without an owner.
+	takeOverTimer *time.Timer
+	// freshReadFrom is when a reading was last asked for out of turn.
+	freshReadFrom atomic.Int64
 
 	duty *repeater.Repeater
 }
@@ -140,8 +140,8 @@
 		h.step(ctx)
 	})
 	close(made)
-	deps.Roll.Listen(h.watched(ownerRow), h.duty.Nudge)
-	deps.Roll.Listen(h.watched(requestRow), h.duty.Nudge)
+	deps.Watcher.Listen(h.watched(ownerRow), h.duty.Nudge)
+	deps.Watcher.Listen(h.watched(requestRow), h.duty.Nudge)
 	return h
 }
 
@@ -167,8 +167,8 @@
 func (h *Holder) Reading() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	looksOften := h.validUntil > 0 || h.deps.Cells() == 1
-	return h.connected && (looksOften || h.deps.Roll.Connected())
+	pollsOften := h.validUntil > 0 || h.deps.Cells() == 1
+	return h.connected && (pollsOften || h.deps.Watcher.Connected())
 }
 
 // ValidUntil returns until when this member surely is the owner; zero if it isn't.
@@ -183,10 +183,10 @@
 func (h *Holder) Slow() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.deps.Cells() > 1 && h.validUntil == 0 && h.calledAt < h.deps.Roll.HeardAt() {
-		return h.deps.Roll.Slow()
+	if h.deps.Cells() > 1 && h.validUntil == 0 && h.lastCallAt < h.deps.Watcher.HeardAt() {
+		return h.deps.Watcher.Slow()
 	}
-	return h.lastCall >= h.timing.SlowCall
+	return h.lastCallTime >= h.timing.SlowCall
 }
 
 // ttl returns the time to live to ask for.
@@ -216,14 +216,14 @@
 func (h *Holder) recordCall(took cottonlanding.Millis, err error) {
 	connected := err == nil || errors.Is(err, cottonlanding.ErrConflict)
 	if !connected {
-		h.deps.Roll.recordFailure(h.clock.Now())
+		h.deps.Watcher.recordFailure(h.clock.Now())
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if connected || !h.connected {
-		h.lastCall = took
+		h.lastCallTime = took
 	}
-	h.calledAt = h.clock.Now()
+	h.lastCallAt = h.clock.Now()
 	switch {
 	case connected == h.connected:
 	case connected:
@@ -236,7 +236,7 @@
 
 // Nudge makes the holder read at once.
 func (h *Holder) Nudge() {
-	h.nudged.Store(int64(h.clock.Now()))
+	h.freshReadFrom.Store(int64(h.clock.Now()))
 	h.duty.Nudge()
 }
 
@@ -285,25 +285,25 @@
 // Close ends the duty without releasing anything.
 func (h *Holder) Close() {
 	h.duty.Close()
-	if h.wake != nil {
-		h.wake.Stop()
+	if h.takeOverTimer != nil {
+		h.takeOverTimer.Stop()
 	}
 }
 
 func (h *Holder) step(ctx context.Context) {
-	h.follow()
+	h.applyOwnerRow()
 	switch {
-	case h.mine():
+	case h.isOwner():
 		h.renew(ctx)
-		h.passOnRequest()
-	case h.mayRest():
-		h.askForCell(ctx)
+		h.forwardRequest()
+	case h.mayPostponeRead():
+		h.requestCell(ctx)
 	default:
 		h.observe(ctx)
 	}
 }
 
-func (h *Holder) mine() bool {
+func (h *Holder) isOwner() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.validUntil > 0
@@ -320,11 +320,11 @@
 		h.validUntil = min(h.validUntil, sent+ttl)
 	}
 	h.mu.Unlock()
-	id := newTransaction()
+	id := newTransactionID()
 	version, err := h.write(ctx, id, cottonlanding.Write{Key: h.key(beatRow), Expect: h.beat, Value: h.encodeBeat(ttl, h.deps.Report())})
 	h.recordCall(h.clock.Now()-sent, err)
 	if errors.Is(err, cottonlanding.ErrAmbiguous) {
-		version, err = h.lookBack(ctx, id)
+		version, err = h.confirmBeat(ctx, id)
 	}
 	switch {
 	case err == nil:
@@ -335,13 +335,13 @@
 		}
 		h.mu.Unlock()
 	case !errors.Is(err, cottonlanding.ErrUnavailable):
-		h.nudged.Store(int64(h.clock.Now())) // what was read before doesn't show why
+		h.freshReadFrom.Store(int64(h.clock.Now())) // what was read before doesn't show why
 		h.observe(ctx)
 	}
 }
 
-// lookBack returns the version of the beat row if the transaction wrote it last.
-func (h *Holder) lookBack(ctx context.Context, id cottonlanding.TransactionID) (cottonlanding.Version, error) {
+// confirmBeat returns the version of the beat row if the transaction wrote it last.
+func (h *Holder) confirmBeat(ctx context.Context, id cottonlanding.TransactionID) (cottonlanding.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout().Duration())
 	defer cancel()
 	sent := h.clock.Now()
@@ -356,7 +356,7 @@
 	return rows[0].Version, nil
 }
 
-func newTransaction() cottonlanding.TransactionID {
+func newTransactionID() cottonlanding.TransactionID {
 	return cottonlanding.TransactionID(uuid.NewString())
 }
 
@@ -369,7 +369,7 @@
 	}
 	h.mu.Unlock()
 	if old.Version != view.Version {
-		h.ownerSince = view.Read
+		h.ownerRowSince = view.Read
 		h.log.Info("owner changed", "Owner", view.Owner.ID, "Address", view.Owner.Address,
 			"Epoch", view.Owner.Epoch, "Version", view.Version)
 		h.deps.Changed(view)
--- a/internal/coordination/holder/holder_test.go
+++ b/internal/coordination/holder/holder_test.go
@@ -18,7 +18,7 @@
 const partition cottonlanding.Partition = "Test"
 
 var timing = holder.Timing{TTL: 1200, SlowTTL: 4000, SlowCall: 150, Poll: 300, Timeout: 600, SlowTimeout: 2500, Jitter: 250, SlowJitter: 2000,
-	Handicap: 900, SlowHandicap: 2000, FirstWait: 2000}
+	SmallShareDelay: 900, SlowSmallShareDelay: 2000, FirstOwnerDelay: 2000}
 
 // takeOverWithin is how long a silent owner's successor takes at most: the last beat is seen
 // a poll late, its time and the margin pass, then comes the jitter, which is drawn with the
@@ -27,57 +27,57 @@
 
 type member struct {
 	*holder.Holder
-	roll  *holder.Roll
-	table *table
-	// asked gets the members that ask for the partition.
-	asked chan holder.Member
+	watcher *holder.Watcher
+	table   *table
+	// requested gets the members that ask for the partition.
+	requested chan holder.Member
 }
 
 // Close ends the member.
 func (m member) Close() {
 	m.Holder.Close()
-	m.roll.Close()
+	m.watcher.Close()
 }
 
 func join(store *keeper.Keeper, clock cottonlanding.Clock, number int) member {
-	return joinSized(store, clock, fmt.Sprintf("m%d", number), 1)
+	return joinWithShare(store, clock, fmt.Sprintf("m%d", number), 1)
 }
 
-// joinSized starts a member that has a share of a core.
-func joinSized(store *keeper.Keeper, clock cottonlanding.Clock, name string, share float64) member {
-	return joinAs(store, clock, holder.Member{ID: cottonlanding.SessionID(name), Address: "a", Share: share}, timing)
+// joinWithShare starts a member that has a share of a core.
+func joinWithShare(store *keeper.Keeper, clock cottonlanding.Clock, name string, share float64) member {
+	return joinMember(store, clock, holder.Member{ID: cottonlanding.SessionID(name), Address: "a", Share: share}, timing)
 }
 
-// quiet is a log that nobody reads.
-var quiet = slog.New(slog.DiscardHandler)
+// discardLog is a log that nobody reads.
+var discardLog = slog.New(slog.DiscardHandler)
 
 // dependencies are those of a member of one cell that owns none and has nothing to tell.
-func dependencies(of cottonlanding.Table, roll *holder.Roll, reader *holder.Reader, clock cottonlanding.Clock) holder.Dependencies {
+func dependencies(of cottonlanding.Table, watcher *holder.Watcher, reader *holder.Reader, clock cottonlanding.Clock) holder.Dependencies {
 	return holder.Dependencies{
-		Table:   of,
-		Roll:    roll,
-		Reader:  reader,
-		Clock:   clock,
-		Log:     quiet,
-		Changed: func(holder.View) {},
-		Asked:   func(holder.Member) {},
-		Owned:   func() int { return 0 },
-		OwnedBy: func(cottonlanding.SessionID) int { return 1 },
-		Cells:   func() int { return 1 },
-		Settled: func() bool { return true },
-		Away:    func() bool { return false },
-		Report:  func() []byte { return nil },
+		Table:         of,
+		Watcher:       watcher,
+		Reader:        reader,
+		Clock:         clock,
+		Log:           discardLog,
+		Changed:       func(holder.View) {},
+		CellRequested: func(holder.Member) {},
+		Owned:         func() int { return 0 },
+		OwnedBy:       func(cottonlanding.SessionID) int { return 1 },
+		Cells:         func() int { return 1 },
+		CellsKnown:    func() bool { return true },
+		Remote:        func() bool { return false },
+		Report:        func() []byte { return nil },
 	}
 }
 
-// joinAs starts a member with spans of its own.
-func joinAs(store *keeper.Keeper, clock cottonlanding.Clock, self holder.Member, timing holder.Timing) member {
+// joinMember starts a member with spans of its own.
+func joinMember(store *keeper.Keeper, clock cottonlanding.Clock, self holder.Member, timing holder.Timing) member {
 	one := &table{Table: store}
-	asked := make(chan holder.Member, 10)
-	roll := holder.NewRoll(feed{store.Watched(clock), one}, clock, quiet, timing.SlowCall)
-	deps := dependencies(one, roll, holder.NewReader(one, clock, roll, partition), clock)
-	deps.Asked = func(to holder.Member) { asked <- to }
-	return member{holder.New(deps, 0, self, timing), roll, one, asked}
+	requested := make(chan holder.Member, 10)
+	watcher := holder.NewWatcher(feed{store.Watched(clock), one}, clock, discardLog, timing.SlowCall)
+	deps := dependencies(one, watcher, holder.NewReader(one, clock, watcher, partition), clock)
+	deps.CellRequested = func(to holder.Member) { requested <- to }
+	return member{holder.New(deps, 0, self, timing), watcher, one, requested}
 }
 
 // owners returns the members that believe in themselves.
@@ -91,7 +91,7 @@
 	return out
 }
 
-func play(t *testing.T, test func(t *testing.T, clock cottonlanding.Clock, members []member)) {
+func simulate(t *testing.T, test func(t *testing.T, clock cottonlanding.Clock, members []member)) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
 		store := keeper.New()
@@ -108,11 +108,11 @@
 	})
 }
 
-func TestOwnerThatIsCutLosesToOneOther(t *testing.T) {
-	play(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
+func TestPartitionedOwnerIsReplacedOnce(t *testing.T) {
+	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)[0]
 		epoch := members[old].View().Owner.Epoch
-		members[old].table.set(func(t *table) { t.cut = true })
+		members[old].table.set(func(t *table) { t.partitioned = true })
 		began := clock.Now()
 		for clock.Now()-began <= takeOverWithin {
 			time.Sleep(50 * time.Millisecond)
@@ -124,14 +124,14 @@
 		view := members[now[0]].View()
 		require.Equal(t, epoch+1, view.Owner.Epoch)
 		require.GreaterOrEqual(t, view.BeforeUntil, began, "the one before may have been valid until then")
-		members[old].table.set(func(t *table) { t.cut = false })
+		members[old].table.set(func(t *table) { t.partitioned = false })
 		time.Sleep(time.Second)
 		require.Equal(t, now, owners(clock, members))
 	})
 }
 
 func TestReleaseHandsOverAtOnce(t *testing.T) {
-	play(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
+	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)[0]
 		require.NoError(t, members[old].Release(context.Background()))
 		time.Sleep(400 * time.Millisecond)
@@ -141,17 +141,17 @@
 	})
 }
 
-func TestOutageOfTheTableKeepsTheOwner(t *testing.T) {
-	play(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
+func TestTableOutageKeepsOwner(t *testing.T) {
+	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)
 		epoch := members[old[0]].View().Owner.Epoch
 		for _, m := range members {
-			m.table.set(func(t *table) { t.cut = true })
+			m.table.set(func(t *table) { t.partitioned = true })
 		}
 		time.Sleep(5 * time.Second)
 		require.Empty(t, owners(clock, members), "nobody may believe in itself for so long")
 		for _, m := range members {
-			m.table.set(func(t *table) { t.cut = false })
+			m.table.set(func(t *table) { t.partitioned = false })
 		}
 		time.Sleep(time.Second)
 		require.Equal(t, old, owners(clock, members))
@@ -159,10 +159,10 @@
 	})
 }
 
-func TestLostAnswersOfBeats(t *testing.T) {
-	play(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
+func TestLostBeatAnswersKeepOwner(t *testing.T) {
+	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)
-		members[old[0]].table.set(func(t *table) { t.lose = true })
+		members[old[0]].table.set(func(t *table) { t.loseAnswers = true })
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
 			require.Equal(t, old, owners(clock, members))
@@ -170,17 +170,17 @@
 	})
 }
 
-func TestSlowTable(t *testing.T) {
-	play(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
+func TestSlowTableKeepsOwner(t *testing.T) {
+	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)
 		for _, m := range members {
-			m.table.set(func(t *table) { t.slow = 400 * time.Millisecond })
+			m.table.set(func(t *table) { t.delayCalls = 400 * time.Millisecond })
 		}
 		time.Sleep(3 * time.Second)
 		require.Equal(t, old, owners(clock, members))
 		require.True(t, members[old[0]].Slow())
 		for _, m := range members {
-			m.table.set(func(t *table) { t.slow = 900 * time.Millisecond })
+			m.table.set(func(t *table) { t.delayCalls = 900 * time.Millisecond })
 		}
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
@@ -190,15 +190,15 @@
 	})
 }
 
-// TestOneCallWithoutAnswerIsNoSlowTable checks that a call without an answer, as on
+// TestSlowTableNeedsTwoUnansweredCalls checks that a call without an answer, as on
 // a connection that went silent, costs its time and no more, and that two show a
 // slow table.
-func TestOneCallWithoutAnswerIsNoSlowTable(t *testing.T) {
-	play(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
+func TestSlowTableNeedsTwoUnansweredCalls(t *testing.T) {
+	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)
 		for range 5 {
 			for _, m := range members {
-				m.table.set(func(t *table) { t.silent = 1 })
+				m.table.set(func(t *table) { t.unanswered = 1 })
 			}
 			for range 40 {
 				time.Sleep(50 * time.Millisecond)
@@ -210,34 +210,34 @@
 			}
 		}
 		for _, m := range members {
-			m.table.set(func(t *table) { t.silent = 3 })
+			m.table.set(func(t *table) { t.unanswered = 3 })
 		}
 		began := clock.Now()
 		for clock.Now()-began < timing.Timeout+timing.SlowTimeout {
 			time.Sleep(10 * time.Millisecond)
 			for _, m := range members {
-				if m.table.silentLeft() == 1 {
+				if m.table.unansweredLeft() == 1 {
 					require.False(t, m.Slow(), "one call without an answer shows nothing")
 				}
 			}
 		}
 		time.Sleep((timing.Poll + timing.Poll/10).Duration())
 		for _, m := range members {
-			require.Zero(t, m.table.silentLeft())
+			require.Zero(t, m.table.unansweredLeft())
 			require.True(t, m.Slow(), "two calls without an answer show a slow table")
 		}
 	})
 }
 
-// TestReleaseIsTriedAgain checks that an owner that leaves while the table is out
+// TestReleaseIsRetried checks that an owner that leaves while the table is out
 // hands over as soon as it is back.
-func TestReleaseIsTriedAgain(t *testing.T) {
-	play(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
+func TestReleaseIsRetried(t *testing.T) {
+	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)[0]
-		members[old].table.set(func(t *table) { t.cut = true })
+		members[old].table.set(func(t *table) { t.partitioned = true })
 		go func() {
 			time.Sleep(700 * time.Millisecond)
-			members[old].table.set(func(t *table) { t.cut = false })
+			members[old].table.set(func(t *table) { t.partitioned = false })
 		}()
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
@@ -249,13 +249,13 @@
 	})
 }
 
-// TestTakeOverWithoutAnswer checks that a take-over whose answer was lost counts.
-func TestTakeOverWithoutAnswer(t *testing.T) {
-	play(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
+// TestTakeOverWithLostAnswer checks that a take-over whose answer was lost counts.
+func TestTakeOverWithLostAnswer(t *testing.T) {
+	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)[0]
 		epoch := members[old].View().Owner.Epoch
 		for at, m := range members {
-			m.table.set(func(t *table) { t.cut, t.lose = at == old, true })
+			m.table.set(func(t *table) { t.partitioned, t.loseAnswers = at == old, true })
 		}
 		time.Sleep(3 * time.Second)
 		now := owners(clock, members)
@@ -274,7 +274,7 @@
 			store := keeper.New()
 			var members []member
 			for number, share := range []float64{0.1, 0.2, 0.8, 0.1, 0.7, 0.2} {
-				one := joinSized(store, clock, fmt.Sprintf("m%d-%d", draw, number), share)
+				one := joinWithShare(store, clock, fmt.Sprintf("m%d-%d", draw, number), share)
 				defer one.Close()
 				members = append(members, one)
 			}
@@ -286,15 +286,15 @@
 				return now[0]
 			}
 			first := large()
-			members[first].table.set(func(t *table) { t.cut = true })
+			members[first].table.set(func(t *table) { t.partitioned = true })
 			second := large()
 			require.NotEqual(t, first, second)
-			members[first].table.set(func(t *table) { t.cut = false })
+			members[first].table.set(func(t *table) { t.partitioned = false })
 			time.Sleep(time.Second)
 			require.NoError(t, members[second].Release(context.Background()))
 			require.Equal(t, first, large())
 			for _, at := range []int{2, 4} {
-				members[at].table.set(func(t *table) { t.cut = true })
+				members[at].table.set(func(t *table) { t.partitioned = true })
 			}
 			time.Sleep(3 * time.Second)
 			require.Len(t, owners(clock, members), 1, "a small one takes it in the end")
@@ -302,31 +302,31 @@
 	}
 }
 
-// TestLargeMemberAsksForThePartition checks that a large member that was cut off
+// TestLargeMemberRequestsCell checks that a large member that was cut off
 // gets the partition back from a small one, once.
-func TestLargeMemberAsksForThePartition(t *testing.T) {
+func TestLargeMemberRequestsCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
 		store := keeper.New()
-		large, small, other := joinSized(store, clock, "large", 0.8), joinSized(store, clock, "small", 0.1), joinSized(store, clock, "other", 0.1)
+		large, small, other := joinWithShare(store, clock, "large", 0.8), joinWithShare(store, clock, "small", 0.1), joinWithShare(store, clock, "other", 0.1)
 		members := []member{large, small, other}
 		for _, m := range members {
 			defer m.Close()
 		}
 		time.Sleep(3 * time.Second)
 		require.Equal(t, []int{0}, owners(clock, members))
-		large.table.set(func(t *table) { t.cut = true })
+		large.table.set(func(t *table) { t.partitioned = true })
 		time.Sleep(3 * time.Second)
 		owner := members[owners(clock, members)[0]]
-		large.table.set(func(t *table) { t.cut = false })
-		asked := <-owner.asked
-		require.Equal(t, cottonlanding.SessionID("large"), asked.ID)
-		require.NoError(t, owner.Yield(context.Background(), asked))
+		large.table.set(func(t *table) { t.partitioned = false })
+		requested := <-owner.requested
+		require.Equal(t, cottonlanding.SessionID("large"), requested.ID)
+		require.NoError(t, owner.Yield(context.Background(), requested))
 		time.Sleep(500 * time.Millisecond)
 		require.Equal(t, []int{0}, owners(clock, members))
 		time.Sleep(10 * time.Second)
 		require.Equal(t, []int{0}, owners(clock, members))
-		require.Empty(t, small.asked)
-		require.Empty(t, other.asked)
+		require.Empty(t, small.requested)
+		require.Empty(t, other.requested)
 	})
 }
--- a/internal/coordination/holder/member.go
+++ b/internal/coordination/holder/member.go
@@ -62,37 +62,37 @@
 	// RestPoll is the time between two reads of a member that leaves the cell to larger
 	// ones, while the owner is alive.
 	RestPoll cottonlanding.Millis
-	// PerOwned is how much longer a member waits before it takes a cell for each one
+	// DelayPerOwned is how much longer a member waits before it takes a cell for each one
 	// that it owns already, so that others go first.
-	PerOwned cottonlanding.Millis
-	// Away is how much longer a member waits that is in another data centre than the
+	DelayPerOwned cottonlanding.Millis
+	// Remote is how much longer a member waits that is in another data centre than the
 	// cell's workers, so that others go first.
-	Away cottonlanding.Millis
+	Remote cottonlanding.Millis
 	// Jitter is over how long the take-overs of members are spread, SlowJitter the
 	// same while the table is slow.
 	Jitter     cottonlanding.Millis
 	SlowJitter cottonlanding.Millis
-	// Handicap is how much longer a member waits than others before it takes over
+	// SmallShareDelay is how much longer a member waits than others before it takes over
 	// from one with a larger share, so that others with a large share go first.
 	// SlowHandicap is the same while the table is slow.
-	Handicap     cottonlanding.Millis
-	SlowHandicap cottonlanding.Millis
-	// EndedGrace is how long the next life of a process that has ended has to take back its cells before others
+	SmallShareDelay     cottonlanding.Millis
+	SlowSmallShareDelay cottonlanding.Millis
+	// RestartGrace is how long the next life of a process that has ended has to take back its cells before others
 	// do. A slow table leaves no time for that.
-	EndedGrace cottonlanding.Millis
+	RestartGrace cottonlanding.Millis
 	// Reclaim says that a member takes over at once from an owner at its own address: only
 	// one process can have that, so that the owner has ended.
 	Reclaim bool
-	// FirstWait is how long a member without a share of a core waits before it
+	// FirstOwnerDelay is how long a member without a share of a core waits before it
 	// becomes the first owner ever, one with half a core half as long, and so on.
-	FirstWait cottonlanding.Millis
+	FirstOwnerDelay cottonlanding.Millis
 	// Timeout bounds one call of the table, SlowTimeout the same while it is slow.
 	Timeout     cottonlanding.Millis
 	SlowTimeout cottonlanding.Millis
 }
 
-// slowCalls is by how many calls of a slow table the waits are longer than usual.
-const slowCalls = 2
+// slowCallFactor is by how many calls of a slow table the waits are longer than usual.
+const slowCallFactor = 2
 
 // SlowSpan returns a wait while calls of the table take a given time: longer than the usual one by some calls from
 // SlowCall on, up to the one for a table as slow as was ever seen.
@@ -100,5 +100,5 @@
 	if call < t.SlowCall {
 		return usual
 	}
-	return min(slowest, usual+slowCalls*call)
+	return min(slowest, usual+slowCallFactor*call)
 }
--- a/internal/coordination/holder/reader.go
+++ b/internal/coordination/holder/reader.go
@@ -6,9 +6,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// mostRows is the most rows that the table returns at once; a partition has fewer holders'
+// maxRows is the most rows that the table returns at once; a partition has fewer holders'
 // rows.
-const mostRows = 500
+const maxRows = 500
 
 // Reader reads the beats of the owners of a partition's cells. The holders of one process
 // share what it reads, so that looking at many cells costs no more calls of the table than
@@ -16,12 +16,12 @@
 type Reader struct {
 	table     cottonlanding.Table
 	clock     cottonlanding.Clock
-	roll      *Roll
+	watcher   *Watcher
 	partition cottonlanding.Partition
 
-	// turn holds the holder that reads; the others wait for what it reads.
-	turn chan struct{}
-	last reading
+	// semaphore holds the holder that reads; the others wait for what it reads.
+	semaphore chan struct{}
+	last      reading
 }
 
 // reading is what one call of the table returned.
@@ -33,8 +33,8 @@
 }
 
 // NewReader returns a reader of a partition that holds nothing but holders' rows.
-func NewReader(table cottonlanding.Table, clock cottonlanding.Clock, roll *Roll, partition cottonlanding.Partition) *Reader {
-	return &Reader{table: table, clock: clock, roll: roll, partition: partition, turn: make(chan struct{}, 1)}
+func NewReader(table cottonlanding.Table, clock cottonlanding.Clock, watcher *Watcher, partition cottonlanding.Partition) *Reader {
+	return &Reader{table: table, clock: clock, watcher: watcher, partition: partition, semaphore: make(chan struct{}, 1)}
 }
 
 // read returns the beats that the table held at some instant after since. A reading may be as
@@ -42,18 +42,18 @@
 // owners, the roll is told who they are by the table as well: its feed may have gone silent.
 func (r *Reader) read(ctx context.Context, since, timeout cottonlanding.Millis, owners bool) reading {
 	select {
-	case r.turn <- struct{}{}:
+	case r.semaphore <- struct{}{}:
 	case <-ctx.Done():
 		return reading{err: ctx.Err()}
 	}
-	defer func() { <-r.turn }()
+	defer func() { <-r.semaphore }()
 	if r.last.sent > since {
 		return r.last
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	next := reading{sent: r.clock.Now()}
-	next.rows, next.err = r.table.Scan(ctx, r.partition.Key(rowPrefix), "", mostRows)
+	next.rows, next.err = r.table.Scan(ctx, r.partition.Key(rowPrefix), "", maxRows)
 	if owners && next.err == nil {
 		next.err = r.readOwners(ctx)
 	}
@@ -63,9 +63,9 @@
 }
 
 func (r *Reader) readOwners(ctx context.Context) error {
-	rows, err := r.table.Scan(ctx, r.partition.Key(cottonlanding.WatchedPrefix+rowPrefix), "", mostRows)
+	rows, err := r.table.Scan(ctx, r.partition.Key(cottonlanding.WatchedPrefix+rowPrefix), "", maxRows)
 	for _, row := range rows {
-		r.roll.Note(row)
+		r.watcher.Note(row)
 	}
 	return err
 }
--- a/internal/coordination/holder/reclaim_test.go
+++ b/internal/coordination/holder/reclaim_test.go
@@ -19,12 +19,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			clock, store, spans := cottonlanding.NewClock(), keeper.New(), timing
 			spans.Reclaim = reclaim
-			killed := joinAs(store, clock, holder.Member{ID: "killed", Address: "a", Share: 1}, spans)
+			killed := joinMember(store, clock, holder.Member{ID: "killed", Address: "a", Share: 1}, spans)
 			time.Sleep(time.Second)
 			require.Positive(t, killed.ValidUntil())
 			killed.Close()
-			other := joinAs(store, clock, holder.Member{ID: "other", Address: "b", Share: 1}, spans)
-			again := joinAs(store, clock, holder.Member{ID: "again", Address: "a", Share: 1}, spans)
+			other := joinMember(store, clock, holder.Member{ID: "other", Address: "b", Share: 1}, spans)
+			again := joinMember(store, clock, holder.Member{ID: "again", Address: "a", Share: 1}, spans)
 			time.Sleep(2 * timing.Poll.Duration())
 			require.Zero(t, other.ValidUntil(), "it can't know that the owner is gone")
 			require.Equal(t, reclaim, again.ValidUntil() > clock.Now())
--- a/internal/coordination/holder/request.go
+++ b/internal/coordination/holder/request.go
@@ -12,13 +12,13 @@
 // by a row that the owner looks at, so that the work doesn't stay where it is crowded.
 
 const (
-	// askAfter is how long a member has seen a small owner before it asks: each
+	// requestDelay is how long a member has seen a small owner before it asks: each
 	// change of owner costs a few tenths of a second.
-	askAfter = 1500 * cottonlanding.Millis(1)
-	// easyOwned is how many cells a member may own without being asked for them by one
+	requestDelay = 1500 * cottonlanding.Millis(1)
+	// maxUncontestedCells is how many cells a member may own without being asked for them by one
 	// of about the same share: a cell is sized to take a third of a member at most, and
 	// each change of owner holds up its work.
-	easyOwned = 2
+	maxUncontestedCells = 2
 )
 
 // Request is the value of the request row.
@@ -29,15 +29,15 @@
 	OwnerVersion cottonlanding.Version
 }
 
-// askForCell asks for the cell if this member should have it.
-func (h *Holder) askForCell(ctx context.Context) {
+// requestCell asks for the cell if this member should have it.
+func (h *Holder) requestCell(ctx context.Context) {
 	view := h.View()
-	if !h.wants(view, h.clock.Now()) {
+	if !h.shouldRequest(view, h.clock.Now()) {
 		return
 	}
-	row, _ := h.deps.Roll.Row(h.watched(requestRow))
+	row, _ := h.deps.Watcher.Row(h.watched(requestRow))
 	if h.decodeRequest(row).OwnerVersion != view.Version {
-		h.ask(ctx, view, row.Version)
+		h.writeRequest(ctx, view, row.Version)
 	}
 }
 
@@ -54,50 +54,50 @@
 	return request
 }
 
-// wants reports whether this member should have the cell.
-func (h *Holder) wants(view View, now cottonlanding.Millis) bool {
+// shouldRequest reports whether this member should have the cell.
+func (h *Holder) shouldRequest(view View, now cottonlanding.Millis) bool {
 	h.mu.Lock()
-	leaving, mine := h.leaving, h.validUntil > 0
+	leaving, isOwner := h.leaving, h.validUntil > 0
 	h.mu.Unlock()
-	if leaving || mine || view.Owner.ID == "" || now-h.ownerSince < askAfter || h.Slow() {
+	if leaving || isOwner || view.Owner.ID == "" || now-h.ownerRowSince < requestDelay || h.Slow() {
 		return false
 	}
-	return h.crowded(view.Owner.Share, max(h.deps.OwnedBy(view.Owner.ID), 1))
+	return h.ownerOverloaded(view.Owner.Share, max(h.deps.OwnedBy(view.Owner.ID), 1))
 }
 
-// crowded reports whether the owner has much less of its share for each cell than this
+// ownerOverloaded reports whether the owner has much less of its share for each cell than this
 // member would have with one more.
-func (h *Holder) crowded(share float64, owned int) bool {
-	if owned <= easyOwned && share*similarShare >= h.self.Share {
+func (h *Holder) ownerOverloaded(share float64, owned int) bool {
+	if owned <= maxUncontestedCells && share*similarShare >= h.self.Share {
 		return false
 	}
 	return float64(owned)*h.self.Share > similarShare*float64(h.deps.Owned()+1)*share
 }
 
-// ask writes the request; of several members one succeeds.
-func (h *Holder) ask(ctx context.Context, view View, requestVersion cottonlanding.Version) {
+// writeRequest writes the request; of several members one succeeds.
+func (h *Holder) writeRequest(ctx context.Context, view View, requestVersion cottonlanding.Version) {
 	write := cottonlanding.Write{
 		Key:    h.watched(requestRow),
 		Expect: requestVersion,
 		Value:  encode(Request{Member: h.self, OwnerVersion: view.Version}),
 	}
-	_, err := h.write(ctx, newTransaction(), write)
+	_, err := h.write(ctx, newTransactionID(), write)
 	h.log.Info("cell requested", "Owner", view.Owner.ID, "OwnerShare", view.Owner.Share,
 		"Share", h.self.Share, "Error", errorText(err))
 }
 
-// passOnRequest passes on a request for this ownership, once.
-func (h *Holder) passOnRequest() {
+// forwardRequest passes on a request for this ownership, once.
+func (h *Holder) forwardRequest() {
 	view := h.View()
-	if h.heard == view.Version {
+	if h.forwardedFor == view.Version {
 		return
 	}
-	row, _ := h.deps.Roll.Row(h.watched(requestRow))
+	row, _ := h.deps.Watcher.Row(h.watched(requestRow))
 	request := h.decodeRequest(row)
 	if request.OwnerVersion != view.Version {
 		return
 	}
-	h.heard = view.Version
+	h.forwardedFor = view.Version
 	h.log.Info("cell request received", "By", request.ID, "Share", request.Share)
-	h.deps.Asked(request.Member)
+	h.deps.CellRequested(request.Member)
 }
--- a/internal/coordination/holder/table_test.go
+++ b/internal/coordination/holder/table_test.go
@@ -11,12 +11,12 @@
 // table passes calls on, slowly, not at all, or without the answer.
 type table struct {
 	cottonlanding.Table
-	mu   sync.Mutex
-	cut  bool
-	lose bool
-	slow time.Duration
-	// silent is how many calls get no answer in their time, and have no effect.
-	silent int
+	mu          sync.Mutex
+	partitioned bool
+	loseAnswers bool
+	delayCalls  time.Duration
+	// unanswered is how many calls get no answer in their time, and have no effect.
+	unanswered int
 }
 
 func (t *table) set(change func(*table)) {
@@ -25,37 +25,37 @@
 	change(t)
 }
 
-func (t *table) faults() (cut, lose bool, slow time.Duration) {
+func (t *table) faults() (partitioned, loseAnswers bool, delayCalls time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.cut, t.lose, t.slow
+	return t.partitioned, t.loseAnswers, t.delayCalls
 }
 
-// silenced reports whether a call gets no answer.
-func (t *table) silenced() bool {
+// dropsAnswer reports whether a call gets no answer.
+func (t *table) dropsAnswer() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.silent == 0 {
+	if t.unanswered == 0 {
 		return false
 	}
-	t.silent--
+	t.unanswered--
 	return true
 }
 
-func (t *table) silentLeft() int {
+func (t *table) unansweredLeft() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.silent
+	return t.unanswered
 }
 
 // awaitAnswer waits for as long as a slow table takes, and reports whether the call has the time.
 func (t *table) awaitAnswer(ctx context.Context) bool {
-	_, _, slow := t.faults()
-	if slow == 0 {
+	_, _, delayCalls := t.faults()
+	if delayCalls == 0 {
 		return true
 	}
 	select {
-	case <-time.After(slow):
+	case <-time.After(delayCalls):
 		return true
 	case <-ctx.Done():
 		return false
@@ -63,27 +63,27 @@
 }
 
 func (t *table) Commit(ctx context.Context, transaction cottonlanding.Transaction) (cottonlanding.Receipt, error) {
-	cut, lose, slow := t.faults()
-	if cut {
+	partitioned, loseAnswers, delayCalls := t.faults()
+	if partitioned {
 		return cottonlanding.Receipt{}, cottonlanding.ErrUnavailable
 	}
-	if t.silenced() {
+	if t.dropsAnswer() {
 		<-ctx.Done()
 		return cottonlanding.Receipt{}, cottonlanding.ErrAmbiguous
 	}
-	time.Sleep(slow)
+	time.Sleep(delayCalls)
 	receipt, err := t.Table.Commit(ctx, transaction)
-	if lose {
+	if loseAnswers {
 		return cottonlanding.Receipt{}, cottonlanding.ErrAmbiguous
 	}
 	return receipt, err
 }
 
 func (t *table) Read(ctx context.Context, keys ...cottonlanding.Key) ([]cottonlanding.Row, error) {
-	if cut, _, _ := t.faults(); cut {
+	if partitioned, _, _ := t.faults(); partitioned {
 		return nil, cottonlanding.ErrUnavailable
 	}
-	if t.silenced() {
+	if t.dropsAnswer() {
 		<-ctx.Done()
 		return nil, cottonlanding.ErrUnavailable
 	}
@@ -91,10 +91,10 @@
 }
 
 func (t *table) Scan(ctx context.Context, prefix, after cottonlanding.Key, limit int) ([]cottonlanding.Row, error) {
-	if cut, _, _ := t.faults(); cut {
+	if partitioned, _, _ := t.faults(); partitioned {
 		return nil, cottonlanding.ErrUnavailable
 	}
-	if t.silenced() {
+	if t.dropsAnswer() {
 		<-ctx.Done()
 		return nil, cottonlanding.ErrUnavailable
 	}
@@ -108,9 +108,9 @@
 }
 
 func (f feed) Read(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
-	news, err := f.Feed.Read(ctx, version, wait)
-	if cut, _, _ := f.table.faults(); cut || !f.table.awaitAnswer(ctx) {
+	update, err := f.Feed.Read(ctx, version, wait)
+	if partitioned, _, _ := f.table.faults(); partitioned || !f.table.awaitAnswer(ctx) {
 		return cottonlanding.FeedReading{}, cottonlanding.ErrUnavailable
 	}
-	return news, err
+	return update, err
 }
--- a/internal/coordination/holder/takeover.go
+++ b/internal/coordination/holder/takeover.go
@@ -19,16 +19,16 @@
 // tries until that is done or ctx ends. The holder goes on to follow who owns it.
 func (h *Holder) Release(ctx context.Context) error {
 	h.Leave()
-	return h.giveUp(ctx, h.View().Owner.Share)
+	return h.release(ctx, h.View().Owner.Share)
 }
 
 // Yield is Release for a member with more room; this one may own the cell again later.
 func (h *Holder) Yield(ctx context.Context, to Member) error {
-	return h.giveUp(ctx, to.Share)
+	return h.release(ctx, to.Share)
 }
 
-// giveUp writes an owner row without an owner; members of about that share go first.
-func (h *Holder) giveUp(ctx context.Context, share float64) error {
+// release writes an owner row without an owner; members of about that share go first.
+func (h *Holder) release(ctx context.Context, share float64) error {
 	h.mu.Lock()
 	view, valid := h.view, h.validUntil > 0
 	h.validUntil = 0
@@ -36,22 +36,22 @@
 	if !valid {
 		return nil
 	}
-	write := h.leaveVacant(view, share, 0)
+	write := h.vacantOwnerWrite(view, share, 0)
 	for {
-		_, err := h.write(ctx, newTransaction(), write)
+		_, err := h.write(ctx, newTransactionID(), write)
 		if err == nil || errors.Is(err, cottonlanding.ErrConflict) {
 			return nil // it is released, or another has it already
 		}
-		pauser.Pause(ctx, releasePause)
+		pauser.Pause(ctx, releaseRetryInterval)
 		if ctx.Err() != nil {
 			return fmt.Errorf("release cell %s: %w", h.cell, err)
 		}
 	}
 }
 
-// leaveVacant returns the write of an owner row that names nobody in place of the owner, who may believe in
+// vacantOwnerWrite returns the write of an owner row that names nobody in place of the owner, who may believe in
 // itself for a remaining time. Members of about that share go first.
-func (h *Holder) leaveVacant(view View, share float64, remaining cottonlanding.Millis) cottonlanding.Write {
+func (h *Holder) vacantOwnerWrite(view View, share float64, remaining cottonlanding.Millis) cottonlanding.Write {
 	return cottonlanding.Write{
 		Key:    h.watched(ownerRow),
 		Expect: view.Version,
@@ -59,156 +59,158 @@
 	}
 }
 
-// free reports whether this member should take over.
-func (h *Holder) free(view View, now cottonlanding.Millis) bool {
+// shouldTakeOver reports whether this member should take over.
+func (h *Holder) shouldTakeOver(view View, now cottonlanding.Millis) bool {
 	h.mu.Lock()
-	leaving, mine := h.leaving, h.validUntil > 0
+	leaving, isOwner := h.leaving, h.validUntil > 0
 	h.mu.Unlock()
 	switch {
-	case leaving || mine:
+	case leaving || isOwner:
 		return false
-	case h.isOurs(view):
+	case h.namesThisMember(view):
 		return true
-	case !h.due(view, now):
+	case !h.mayTakeOverNow(view, now):
 		return false
 	}
-	return h.deps.Roll.mayTake(now, 2*h.timing.PerOwned)
+	return h.deps.Watcher.mayTakeOver(now, 2*h.timing.DelayPerOwned)
 }
 
 // vacant reports whether the cell has no owner.
 func (h *Holder) vacant() bool { return h.View().Owner.ID == "" }
 
-// waits reports whether this member only has to wait for its turn to take a cell that has no
+// awaitTurn reports whether this member only has to wait for its turn to take a cell that has no
 // owner. The duty runs again when that comes.
-func (h *Holder) waits() bool {
+func (h *Holder) awaitTurn() bool {
 	view, now := h.View(), h.clock.Now()
-	if view.Owner.ID != "" || h.ownerSince == 0 {
+	if view.Owner.ID != "" || h.ownerRowSince == 0 {
 		return false
 	}
-	left := h.dueAt(view) - now
+	left := h.takeOverDueAt(view) - now
 	if left <= 0 {
 		return false
 	}
-	if h.wake == nil {
-		h.wake = time.AfterFunc(left.Duration(), h.duty.Nudge)
+	if h.takeOverTimer == nil {
+		h.takeOverTimer = time.AfterFunc(left.Duration(), h.duty.Nudge)
 	} else {
-		h.wake.Reset(left.Duration())
+		h.takeOverTimer.Reset(left.Duration())
 	}
 	return true
 }
 
-// gone reports whether the owner has surely ended, which others are to be told where not all
+// ownerHasEnded reports whether the owner has surely ended, which others are to be told where not all
 // processes look at its beats.
-func (h *Holder) gone(view View, now cottonlanding.Millis) bool {
-	return !h.mine() && h.deps.Cells() > 1 && view.Owner.ID != "" && now >= h.endOf(view)
+func (h *Holder) ownerHasEnded(view View, now cottonlanding.Millis) bool {
+	return !h.isOwner() && h.deps.Cells() > 1 && view.Owner.ID != "" && now >= h.ownerEndsAt(view)
 }
 
-// endOf returns the instant by which the owner has ended if its beat doesn't move any more, or its next life has
+// ownerEndsAt returns the instant by which the owner has ended if its beat doesn't move any more, or its next life has
 // had its time to take the cell back, and this member's part of the jitter after that.
-func (h *Holder) endOf(view View) cottonlanding.Millis {
-	end := h.beliefEnds() + h.jitter(view)
+func (h *Holder) ownerEndsAt(view View) cottonlanding.Millis {
+	end := h.ownershipExpiresAt() + h.jitter(view)
 	endedAt := h.ownerEndedAt(view)
 	switch {
 	case endedAt == 0:
 		return end
 	case h.deps.Cells() > 1:
 		// Few watch an owner and write that it is gone, so that they needn't be spread over many calls.
-		return min(end, endedAt+h.endedGrace()+h.partOf(h.timing.Jitter, view))
+		return min(end, endedAt+h.restartGrace()+h.memberOffset(h.timing.Jitter, view))
 	}
-	return min(end, endedAt+h.endedGrace()+h.jitter(view))
+	return min(end, endedAt+h.restartGrace()+h.jitter(view))
 }
 
-// beliefEnds returns the instant by which the owner doesn't believe in itself any more if its beat doesn't move.
-func (h *Holder) beliefEnds() cottonlanding.Millis {
-	return h.beatSince + h.beatTTL + h.beatTTL/marginDivisor
+// ownershipExpiresAt returns the instant by which the owner doesn't believe in itself any more if its beat doesn't move.
+func (h *Holder) ownershipExpiresAt() cottonlanding.Millis {
+	return h.beatSince + h.beatTTL + h.beatTTL/driftMarginDivisor
 }
 
-func (h *Holder) endedGrace() cottonlanding.Millis {
+func (h *Holder) restartGrace() cottonlanding.Millis {
 	if h.Slow() {
 		return 0
 	}
-	return h.timing.EndedGrace
+	return h.timing.RestartGrace
 }
 
-// vacate writes that the cell has no owner, in place of one that was seen to write no beat for
+// clearOwner writes that the cell has no owner, in place of one that was seen to write no beat for
 // its time to live. The beat row is written too, so that the owner can't come back unaware.
-func (h *Holder) vacate(ctx context.Context, view View) {
-	remaining := max(0, h.beliefEnds()-h.clock.Now())
-	_, err := h.write(ctx, newTransaction(),
-		h.leaveVacant(view, view.Owner.Share, remaining),
+func (h *Holder) clearOwner(ctx context.Context, view View) {
+	remaining := max(0, h.ownershipExpiresAt()-h.clock.Now())
+	_, err := h.write(ctx, newTransactionID(),
+		h.vacantOwnerWrite(view, view.Owner.Share, remaining),
 		cottonlanding.Write{Key: h.key(beatRow), Expect: h.beat, Value: h.encodeBeat(h.timing.TTL, nil)},
 	)
 	h.log.Info("owner is gone", "Owner", view.Owner.ID, "Epoch", view.Owner.Epoch,
 		"BeatAge", h.clock.Now()-h.beatSince, "Remaining", remaining, "Error", errorText(err))
 }
 
-// isOurs reports whether the owner row names this member, whose ownership has lapsed or was never
+// namesThisMember reports whether the owner row names this member, whose ownership has lapsed or was never
 // confirmed, or an earlier life of this host.
-func (h *Holder) isOurs(view View) bool {
+func (h *Holder) namesThisMember(view View) bool {
 	if view.Owner.Member == h.self {
 		return true
 	}
 	return h.timing.Reclaim && h.self.Address != "" && view.Owner.Address == h.self.Address
 }
 
-// due reports whether this member has waited for as long as it should before it takes the
+// mayTakeOverNow reports whether this member has waited for as long as it should before it takes the
 // cell over.
-func (h *Holder) due(view View, now cottonlanding.Millis) bool { return now >= h.dueAt(view) }
+func (h *Holder) mayTakeOverNow(view View, now cottonlanding.Millis) bool {
+	return now >= h.takeOverDueAt(view)
+}
 
-// dueAt returns the instant from which this member should take the cell over.
-func (h *Holder) dueAt(view View) cottonlanding.Millis {
+// takeOverDueAt returns the instant from which this member should take the cell over.
+func (h *Holder) takeOverDueAt(view View) cottonlanding.Millis {
 	switch {
 	case view.Version == 0:
-		return h.ownerSince + h.firstWait() + h.jitter(view) + h.burden()
+		return h.ownerRowSince + h.firstOwnerDelay() + h.jitter(view) + h.ownLoadDelay()
 	case view.Owner.ID == "":
-		return h.ownerSince + h.handicap(view) + h.jitter(view) + h.burden()
+		return h.ownerRowSince + h.smallShareDelay(view) + h.jitter(view) + h.ownLoadDelay()
 	}
-	return h.endOf(view) + h.handicap(view) + h.burden()
+	return h.ownerEndsAt(view) + h.smallShareDelay(view) + h.ownLoadDelay()
 }
 
-// burden is how much longer this member waits because of the cells that it owns, and
+// ownLoadDelay is how much longer this member waits because of the cells that it owns, and
 // because of where it is.
-func (h *Holder) burden() cottonlanding.Millis {
-	wait := cottonlanding.Millis(h.deps.Owned()) * h.timing.PerOwned
-	if h.deps.Away() {
-		wait += h.timing.Away
+func (h *Holder) ownLoadDelay() cottonlanding.Millis {
+	wait := cottonlanding.Millis(h.deps.Owned()) * h.timing.DelayPerOwned
+	if h.deps.Remote() {
+		wait += h.timing.Remote
 	}
 	return wait
 }
 
-// handicap is how much longer this member waits than those that have as large a
+// smallShareDelay is how much longer this member waits than those that have as large a
 // share as the owner had.
-func (h *Holder) handicap(view View) cottonlanding.Millis {
+func (h *Holder) smallShareDelay(view View) cottonlanding.Millis {
 	if view.Owner.Share <= h.self.Share*similarShare {
 		return 0
 	}
-	return h.slowed(h.timing.Handicap, h.timing.SlowHandicap)
+	return h.scaleDelay(h.timing.SmallShareDelay, h.timing.SlowSmallShareDelay)
 }
 
-// slowed returns a span that leaves time for calls of the table as it is at present.
-func (h *Holder) slowed(usual, slowest cottonlanding.Millis) cottonlanding.Millis {
+// scaleDelay returns a span that leaves time for calls of the table as it is at present.
+func (h *Holder) scaleDelay(usual, slowest cottonlanding.Millis) cottonlanding.Millis {
 	if !h.Slow() {
 		return usual
 	}
 	h.mu.Lock()
-	call := max(h.lastCall, h.timing.SlowCall)
+	call := max(h.lastCallTime, h.timing.SlowCall)
 	h.mu.Unlock()
 	return h.timing.SlowSpan(usual, slowest, call)
 }
 
-// firstWait is how long this member waits before it becomes the first owner.
-func (h *Holder) firstWait() cottonlanding.Millis {
-	return cottonlanding.Millis(float64(h.timing.FirstWait) * max(0, 1-h.self.Share))
+// firstOwnerDelay is how long this member waits before it becomes the first owner.
+func (h *Holder) firstOwnerDelay() cottonlanding.Millis {
+	return cottonlanding.Millis(float64(h.timing.FirstOwnerDelay) * max(0, 1-h.self.Share))
 }
 
 // jitter spreads the members that would take over at the same moment: they share
 // one row, and a slow table takes their writes one after the other.
 func (h *Holder) jitter(view View) cottonlanding.Millis {
-	return h.partOf(h.slowed(h.timing.Jitter, h.timing.SlowJitter), view)
+	return h.memberOffset(h.scaleDelay(h.timing.Jitter, h.timing.SlowJitter), view)
 }
 
-// partOf returns this member's part of a span over which the members are spread.
-func (h *Holder) partOf(span cottonlanding.Millis, view View) cottonlanding.Millis {
+// memberOffset returns this member's part of a span over which the members are spread.
+func (h *Holder) memberOffset(span cottonlanding.Millis, view View) cottonlanding.Millis {
 	if span <= 0 {
 		return 0
 	}
@@ -221,27 +223,27 @@
 func (h *Holder) takeOver(ctx context.Context, view View) {
 	sent, ttl := h.clock.Now(), h.ttl()
 	owner := Owner{Member: h.self, Epoch: view.Owner.Epoch + 1}
-	id := newTransaction()
+	id := newTransactionID()
 	version, err := h.write(ctx, id,
 		cottonlanding.Write{Key: h.watched(ownerRow), Expect: view.Version, Value: encode(owner)},
 		cottonlanding.Write{Key: h.key(beatRow), Expect: h.beat, Value: h.encodeBeat(ttl, nil)},
 	)
 	if errors.Is(err, cottonlanding.ErrAmbiguous) {
-		version, err = h.lookBack(ctx, id)
+		version, err = h.confirmBeat(ctx, id)
 	}
 	h.log.Info("take over", "From", view.Owner.ID, "Epoch", owner.Epoch,
 		"BeatAge", sent-h.beatSince, "Error", errorText(err))
 	if err != nil {
 		return // the next read shows who has it
 	}
-	before := h.beatSince + h.beatTTL // it was seen to write no beat since
+	previousUntil := h.beatSince + h.beatTTL // it was seen to write no beat since
 	if view.Owner.ID == "" {
-		before = max(sent, h.ownerSince+view.Owner.Remaining) // it has released, has ended, or there was none
+		previousUntil = max(sent, h.ownerRowSince+view.Owner.Remaining) // it has released, has ended, or there was none
 	}
 	h.beat, h.beatTTL, h.beatSince = version, ttl, h.clock.Now()
-	h.ownerSince = h.beatSince
+	h.ownerRowSince = h.beatSince
 	h.mu.Lock()
-	h.view = View{Owner: owner, Version: version, Read: h.clock.Now(), BeforeUntil: before}
+	h.view = View{Owner: owner, Version: version, Read: h.clock.Now(), BeforeUntil: previousUntil}
 	h.validUntil = sent + ttl
 	view = h.view
 	h.mu.Unlock()
--- a/internal/coordination/observer/observer.go
+++ b/internal/coordination/observer/observer.go
@@ -18,12 +18,12 @@
 	ownerPrefix cottonlanding.Key = "Owners/"
 	readTimeout                   = 2 * cottonlanding.Second
 	scanLimit                     = 1000
-	// staleAge is how long the row of an ended session is kept.
-	staleAge = 10 * cottonlanding.Minute
-	// gapFactor bounds the time counted between two reads, in polls.
-	gapFactor = 3
-	// marginDivisor lengthens the time to live by 1/10 against clock drift.
-	marginDivisor = 10
+	// endedRowRetention is how long the row of an ended session is kept.
+	endedRowRetention = 10 * cottonlanding.Minute
+	// maxGapPolls bounds the time counted between two reads, in polls.
+	maxGapPolls = 3
+	// driftMarginDivisor lengthens the time to live by 1/10 against clock drift.
+	driftMarginDivisor = 10
 )
 
 // Ownership is the value of a cell's owner row.
@@ -49,9 +49,9 @@
 type View struct {
 	// Read is the instant of the answer; zero before the first.
 	Read cottonlanding.Millis
-	// Watched tells that the observer has counted a session's time since its first
+	// ObservedTTL tells that the observer has counted a session's time since its first
 	// read, so that it has seen the end of any that ended before.
-	Watched bool
+	ObservedTTL bool
 	// Live holds the sessions that have not ended.
 	Live []registrar.Session
 	// Ended tells when sessions were found to have ended.
@@ -76,7 +76,7 @@
 	clock      cottonlanding.Clock
 	dataCentre cottonlanding.DataCentre
 	changed    func(View)
-	roster     *Roster
+	tracker    *SessionTracker
 
 	mu       sync.Mutex
 	view     View
@@ -103,7 +103,7 @@
 		clock:      clock,
 		dataCentre: dataCentre,
 		changed:    changed,
-		roster:     NewRoster(ttl+ttl/marginDivisor, gapFactor*poll),
+		tracker:    NewSessionTracker(ttl+ttl/driftMarginDivisor, maxGapPolls*poll),
 	}
 	o.duty = repeater.New(poll, o.observe)
 	return o
@@ -147,7 +147,7 @@
 	o.view = view
 	o.mu.Unlock()
 	o.changed(view)
-	o.clean(ctx, view.Read)
+	o.deleteStaleRows(ctx, view.Read)
 }
 
 func (o *Observer) read(ctx context.Context) (View, error) {
@@ -163,14 +163,14 @@
 		return View{}, err
 	}
 	now := o.clock.Now()
-	if err := o.roster.Observe(sessions, sent, now); err != nil {
+	if err := o.tracker.Observe(sessions, sent, now); err != nil {
 		return View{}, err
 	}
 	cells, err := decodeOwners(owners)
 	if err != nil {
 		return View{}, err
 	}
-	return View{Read: now, Watched: o.roster.Watched(), Live: o.roster.Live(), Ended: o.roster.Ended(), Cells: cells}, nil
+	return View{Read: now, ObservedTTL: o.tracker.ObservedTTL(), Live: o.tracker.Live(), Ended: o.tracker.Ended(), Cells: cells}, nil
 }
 
 func decodeOwners(rows []cottonlanding.Row) (map[cottonlanding.CellID]OwnerRow, error) {
@@ -185,10 +185,10 @@
 	return out, nil
 }
 
-// clean deletes the rows of sessions that ended long ago. Whoever does it first
+// deleteStaleRows deletes the rows of sessions that ended long ago. Whoever does it first
 // wins; the others' transactions conflict.
-func (o *Observer) clean(ctx context.Context, now cottonlanding.Millis) {
-	for _, write := range o.roster.Stale(staleAge, now) {
+func (o *Observer) deleteStaleRows(ctx context.Context, now cottonlanding.Millis) {
+	for _, write := range o.tracker.Stale(endedRowRetention, now) {
 		ctx, cancel := context.WithTimeout(ctx, readTimeout.Duration())
 		transaction := cottonlanding.Transaction{
 			ID:     cottonlanding.TransactionID(uuid.NewString()),
--- a/internal/coordination/observer/roster_test.go
+++ b/internal/coordination/observer/tracker_test.go
@@ -33,12 +33,12 @@
 	return cottonlanding.Row{Key: registrar.SessionKey(id), Version: version, Value: value}
 }
 
-// TestNoSessionEndsWhileItsHolderBelievesInIt models a holder that counts from
+// TestSessionOutlastsHoldersValidity models a holder that counts from
 // before it sent its last successful renewal, and an observer whose reads fail,
 // lag and pause.
-func TestNoSessionEndsWhileItsHolderBelievesInIt(t *testing.T) {
+func TestSessionOutlastsHoldersValidity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		roster := observer.NewRoster(ttl, 3*poll)
+		tracker := observer.NewSessionTracker(ttl, 3*poll)
 		now := cottonlanding.Millis(1)
 		version := cottonlanding.Version(1)
 		validUntil := now + ttl
@@ -55,9 +55,9 @@
 				sent := now
 				row := sessionRow(t, "holder", version)
 				now += cottonlanding.Millis(rapid.IntRange(0, 500).Draw(t, "delay"))
-				_, before := roster.Ended()["holder"]
-				require.NoError(t, roster.Observe([]cottonlanding.Row{row}, sent, now))
-				_, after := roster.Ended()["holder"]
+				_, before := tracker.Ended()["holder"]
+				require.NoError(t, tracker.Observe([]cottonlanding.Row{row}, sent, now))
+				_, after := tracker.Ended()["holder"]
 				if after && !before {
 					require.GreaterOrEqual(t, now, validUntil, "ended while the holder believed in it")
 				}
@@ -66,29 +66,29 @@
 	})
 }
 
-func TestSilentSessionEndsAfterItsTime(t *testing.T) {
-	roster := observer.NewRoster(ttl, 3*poll)
+func TestUnrenewedSessionEndsAfterTTL(t *testing.T) {
+	tracker := observer.NewSessionTracker(ttl, 3*poll)
 	rows := []cottonlanding.Row{sessionRow(t, "dead", 7)}
 	for now := cottonlanding.Millis(0); now < ttl; now += poll {
-		require.NoError(t, roster.Observe(rows, now, now))
-		require.True(t, roster.Alive("dead"))
+		require.NoError(t, tracker.Observe(rows, now, now))
+		require.True(t, tracker.Alive("dead"))
 	}
-	require.NoError(t, roster.Observe(rows, ttl, ttl))
-	require.False(t, roster.Alive("dead"))
+	require.NoError(t, tracker.Observe(rows, ttl, ttl))
+	require.False(t, tracker.Alive("dead"))
 }
 
-func TestTableOutageEndsNobody(t *testing.T) {
-	roster := observer.NewRoster(ttl, 3*poll)
+func TestTableOutageKeepsSessions(t *testing.T) {
+	tracker := observer.NewSessionTracker(ttl, 3*poll)
 	rows := []cottonlanding.Row{sessionRow(t, "held", 7)}
-	require.NoError(t, roster.Observe(rows, 0, 0))
+	require.NoError(t, tracker.Observe(rows, 0, 0))
 	outage := 10 * cottonlanding.Minute
-	require.NoError(t, roster.Observe(rows, outage, outage))
-	require.True(t, roster.Alive("held"), "nobody could renew during the outage")
+	require.NoError(t, tracker.Observe(rows, outage, outage))
+	require.True(t, tracker.Alive("held"), "nobody could renew during the outage")
 }
 
-func TestSessionWhoseRowIsGoneHasEnded(t *testing.T) {
-	roster := observer.NewRoster(ttl, 3*poll)
-	require.NoError(t, roster.Observe([]cottonlanding.Row{sessionRow(t, "left", 7)}, 0, 0))
-	require.NoError(t, roster.Observe(nil, 1, 1))
-	require.False(t, roster.Alive("left"))
+func TestDeletedRowEndsSession(t *testing.T) {
+	tracker := observer.NewSessionTracker(ttl, 3*poll)
+	require.NoError(t, tracker.Observe([]cottonlanding.Row{sessionRow(t, "left", 7)}, 0, 0))
+	require.NoError(t, tracker.Observe(nil, 1, 1))
+	require.False(t, tracker.Alive("left"))
 }
--- a/internal/coordination/registrar/registrar.go
+++ b/internal/coordination/registrar/registrar.go
@@ -66,10 +66,10 @@
 	renewals   int64
 	failures   int64
 
-	nudge  waker.Waker
-	ctx    context.Context
-	cancel context.CancelFunc
-	ended  chan struct{}
+	renewNow waker.Waker
+	ctx      context.Context
+	cancel   context.CancelFunc
+	ended    chan struct{}
 }
 
 // State is a registrar's dump.
@@ -85,14 +85,14 @@
 func New(table cottonlanding.Table, clock cottonlanding.Clock, session Session, ttl cottonlanding.Millis) *Registrar {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Registrar{
-		table:   table,
-		clock:   clock,
-		ttl:     ttl,
-		session: session,
-		nudge:   waker.New(),
-		ctx:     ctx,
-		cancel:  cancel,
-		ended:   make(chan struct{}),
+		table:    table,
+		clock:    clock,
+		ttl:      ttl,
+		session:  session,
+		renewNow: waker.New(),
+		ctx:      ctx,
+		cancel:   cancel,
+		ended:    make(chan struct{}),
 	}
 	go func() {
 		defer close(r.ended)
@@ -135,8 +135,8 @@
 	r.change(func(s *Session) { s.Seat = seat })
 }
 
-// Settle tells observers that this holder can take over, once.
-func (r *Registrar) Settle() {
+// MarkStarted tells observers that this holder can take over, once.
+func (r *Registrar) MarkStarted() {
 	if r.Session().Starting {
 		r.change(func(s *Session) { s.Starting = false })
 	}
@@ -151,7 +151,7 @@
 	r.mu.Lock()
 	edit(&r.session)
 	r.mu.Unlock()
-	r.nudge.Wake()
+	r.renewNow.Wake()
 }
 
 // Close stops renewing and deletes the row if the table can be reached.
@@ -165,7 +165,7 @@
 	if write.Expect == 0 {
 		return nil
 	}
-	transaction := cottonlanding.Transaction{ID: newTransaction(), Writes: []cottonlanding.Write{write}}
+	transaction := cottonlanding.Transaction{ID: newTransactionID(), Writes: []cottonlanding.Write{write}}
 	if _, err := r.table.Commit(ctx, transaction); err != nil {
 		return fmt.Errorf("delete session: %w", err)
 	}
@@ -176,7 +176,7 @@
 	interval := r.ttl / renewalsPerTTL
 	for r.ctx.Err() == nil {
 		r.renew(interval)
-		pauser.Wait(r.ctx, interval, r.nudge)
+		pauser.Wait(r.ctx, interval, r.renewNow)
 	}
 }
 
@@ -195,20 +195,20 @@
 	}
 	sent := r.clock.Now()
 	receipt, err := r.table.Commit(ctx, cottonlanding.Transaction{
-		ID:     newTransaction(),
+		ID:     newTransactionID(),
 		Writes: []cottonlanding.Write{{Key: SessionKey(session.ID), Expect: version, Value: value}},
 	})
 	if err == nil {
-		r.renewed(receipt.Version, sent)
+		r.recordRenewal(receipt.Version, sent)
 		return
 	}
-	r.failed()
+	r.recordFailure()
 	if errors.Is(err, cottonlanding.ErrConflict) || errors.Is(err, cottonlanding.ErrAmbiguous) {
-		r.lookUp(ctx)
+		r.readVersion(ctx)
 	}
 }
 
-func (r *Registrar) renewed(version cottonlanding.Version, sent cottonlanding.Millis) {
+func (r *Registrar) recordRenewal(version cottonlanding.Version, sent cottonlanding.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version = version
@@ -216,15 +216,15 @@
 	r.renewals++
 }
 
-func (r *Registrar) failed() {
+func (r *Registrar) recordFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failures++
 }
 
-// lookUp learns the row's version after a renewal whose effect is unknown. The
+// readVersion learns the row's version after a renewal whose effect is unknown. The
 // session's time is not extended by it.
-func (r *Registrar) lookUp(ctx context.Context) {
+func (r *Registrar) readVersion(ctx context.Context) {
 	rows, err := r.table.Read(ctx, SessionKey(r.Session().ID))
 	if err != nil {
 		return
@@ -237,6 +237,6 @@
 	}
 }
 
-func newTransaction() cottonlanding.TransactionID {
+func newTransactionID() cottonlanding.TransactionID {
 	return cottonlanding.TransactionID(uuid.NewString())
 }
--- a/internal/operators/sharer/sharer_test.go
+++ b/internal/operators/sharer/sharer_test.go
@@ -135,9 +135,9 @@
 		f := &fleet{clock: cottonlanding.NewClock(), operators: newOperators(), table: keeper.New()}
 		f.leads.Store(true)
 		f.operators.write("config", configurationOf(0, configurationLength))
-		var rolls []*holder.Roll
+		var rolls []*holder.Watcher
 		for number := range count {
-			roll := holder.NewRoll(f.table.Watched(f.clock), f.clock, slog.New(slog.DiscardHandler), 150)
+			roll := holder.NewWatcher(f.table.Watched(f.clock), f.clock, slog.New(slog.DiscardHandler), 150)
 			rolls = append(rolls, roll)
 			f.start(ctx, number, roll, shares)
 			time.Sleep(startGap)
@@ -152,7 +152,7 @@
 	})
 }
 
-func (f *fleet) start(ctx context.Context, number int, roll *holder.Roll, shares bool) {
+func (f *fleet) start(ctx context.Context, number int, roll *holder.Watcher, shares bool) {
 	log := slog.New(slog.NewTextHandler(&f.log, nil))
 	if number > 0 {
 		log = slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/placement/owner/events.go
+++ b/internal/placement/owner/events.go
@@ -12,8 +12,8 @@
 
 func (e viewEvent) apply(o *Owner, _ cottonlanding.Millis) {
 	o.view = e.view
-	if e.view.Watched && o.hasRules && o.hasHosts {
-		o.deps.Registrar.Settle()
+	if e.view.ObservedTTL && o.hasRules && o.hasHosts {
+		o.deps.Registrar.MarkStarted()
 	}
 	for id, owned := range o.cells {
 		row := e.view.Cells[id]
--- a/internal/workflow/driver/driver.go
+++ b/internal/workflow/driver/driver.go
@@ -166,7 +166,7 @@
 	}
 	lane := setup.Partition.Key("Lanes/" + uuid.NewString())
 	d.committer = committer.New(deps.Table, deps.Clock, lane,
-		committer.WithSpacing(0), committer.WithWrites(writesPerTransaction), committer.WithTimeout(tableTimeout))
+		committer.WithSpacing(0), committer.WithMaxWrites(writesPerTransaction), committer.WithTimeout(tableTimeout))
 	d.work.Go(func() {
 		defer close(d.ended)
 		d.run()
--- a/internal/workflow/gateway/gateway.go
+++ b/internal/workflow/gateway/gateway.go
@@ -94,7 +94,7 @@
 	settings  Settings
 	deps      Dependencies
 	messenger *messenger.Messenger
-	roll      *holder.Roll
+	roll      *holder.Watcher
 	// seats holds this host's part in each cell that is known; the first is there from
 	// the start.
 	seats atomic.Pointer[[]*seat]
@@ -148,7 +148,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.roll = holder.NewRoll(deps.Watched, deps.Clock, deps.Log, settings.Holder.SlowCall)
+	g.roll = holder.NewWatcher(deps.Watched, deps.Clock, deps.Log, settings.Holder.SlowCall)
 	g.addSeats(1)
 	deps.Lists.ChooseBy(g.listSource)
 	g.layoutDuty = repeater.New(layoutPoll, g.followLayout)
@@ -220,7 +220,7 @@
 func (g *Gateway) Leads() bool { return g.cells() > 1 && g.seat(firstCell).mine() }
 
 // Roll returns what this host knows of the watched rows.
-func (g *Gateway) Roll() *holder.Roll { return g.roll }
+func (g *Gateway) Roll() *holder.Watcher { return g.roll }
 
 // cells counts the cells; before the layout is known there is one.
 func (g *Gateway) cells() int { return max(1, len(*g.seats.Load())) }
--- a/internal/workflow/gateway/gateway_test.go
+++ b/internal/workflow/gateway/gateway_test.go
@@ -181,8 +181,8 @@
 	host, err := gateway.New(gateway.Settings{
 		Self:        holder.Member{ID: cottonlanding.SessionID(fmt.Sprintf("h%d", number)), Address: path.Address(), Share: share},
 		PeerAddress: address,
-		Holder: holder.Timing{TTL: 600, SlowTTL: 2000, SlowCall: d.slowFrom, Poll: 100, Timeout: 500, SlowTimeout: 1000, Handicap: 300, SlowHandicap: 300,
-			PerOwned: 300, Jitter: 50},
+		Holder: holder.Timing{TTL: 600, SlowTTL: 2000, SlowCall: d.slowFrom, Poll: 100, Timeout: 500, SlowTimeout: 1000, SmallShareDelay: 300, SlowSmallShareDelay: 300,
+			DelayPerOwned: 300, Jitter: 50},
 		Planner:        planner.Timing{Lease: 3000, CutOffGrace: 1000, StopTimeout: 300, Retention: cottonlanding.Minute},
 		Policy:         selector.Default().Planner,
 		Referral:       d.referral,
--- a/internal/workflow/gateway/seat.go
+++ b/internal/workflow/gateway/seat.go
@@ -48,25 +48,25 @@
 	}
 	ready := make(chan struct{})
 	s.holder = holder.New(holder.Dependencies{
-		Table:  g.deps.Table,
-		Roll:   g.roll,
-		Reader: g.reader(ownersPartition(cell, cells)),
-		Clock:  g.deps.Clock,
-		Log:    g.deps.Log,
+		Table:   g.deps.Table,
+		Watcher: g.roll,
+		Reader:  g.reader(ownersPartition(cell, cells)),
+		Clock:   g.deps.Clock,
+		Log:     g.deps.Log,
 		Changed: func(view holder.View) {
 			<-ready
 			s.ownerChanged(view)
 		},
-		Asked: func(to holder.Member) {
+		CellRequested: func(to holder.Member) {
 			<-ready
 			go s.yield(to)
 		},
-		Owned:   g.Owned,
-		OwnedBy: g.ownedBy,
-		Cells:   g.cells,
-		Settled: g.ready.Load,
-		Away:    s.away,
-		Report:  s.report,
+		Owned:      g.Owned,
+		OwnedBy:    g.ownedBy,
+		Cells:      g.cells,
+		CellsKnown: g.ready.Load,
+		Remote:     s.away,
+		Report:     s.report,
 	}, cell, g.settings.Self, g.settings.Holder)
 	close(ready)
 	return s
--- a/internal/workflow/gateway/timing.go
+++ b/internal/workflow/gateway/timing.go
@@ -61,22 +61,22 @@
 // life of its own held at once.
 func HolderTiming(reclaim bool) holder.Timing {
 	return holder.Timing{
-		Reclaim:      reclaim,
-		TTL:          holderTTL,
-		SlowTTL:      slowHolderTTL,
-		SlowCall:     slowCall,
-		Poll:         holderPoll,
-		RestPoll:     holderRestPoll,
-		PerOwned:     holderPerOwned,
-		Away:         holderAway,
-		Timeout:      holderTimeout,
-		SlowTimeout:  slowHolderTimeout,
-		Jitter:       holderJitter,
-		SlowJitter:   slowHolderJitter,
-		Handicap:     holderHandicap,
-		SlowHandicap: slowHolderHandicap,
-		FirstWait:    holderFirstWait,
-		EndedGrace:   holderEndedGrace,
+		Reclaim:             reclaim,
+		TTL:                 holderTTL,
+		SlowTTL:             slowHolderTTL,
+		SlowCall:            slowCall,
+		Poll:                holderPoll,
+		RestPoll:            holderRestPoll,
+		DelayPerOwned:       holderPerOwned,
+		Remote:              holderAway,
+		Timeout:             holderTimeout,
+		SlowTimeout:         slowHolderTimeout,
+		Jitter:              holderJitter,
+		SlowJitter:          slowHolderJitter,
+		SmallShareDelay:     holderHandicap,
+		SlowSmallShareDelay: slowHolderHandicap,
+		FirstOwnerDelay:     holderFirstWait,
+		RestartGrace:        holderEndedGrace,
 	}
 }
 
@@ -99,7 +99,7 @@
 // similar size; small ones that have to wait for large ones may need longer.
 func CheckSpans(timing holder.Timing, lease cottonlanding.Millis) error {
 	left := lease - lease/leaseUsed
-	waits := timing.Jitter + timing.SlowSpan(timing.Jitter, timing.SlowJitter, checkedCall) + 2*timing.PerOwned + timing.Away
+	waits := timing.Jitter + timing.SlowSpan(timing.Jitter, timing.SlowJitter, checkedCall) + 2*timing.DelayPerOwned + timing.Remote
 	if needed := killSeenWithin + waits + takeOverCalls*checkedCall; needed > left {
 		return fmt.Errorf("a killed owner is replaced after up to %s with calls of %s (waits %s), a lease of %s has %s left", needed, checkedCall, waits, lease, left)
 	}
--- a/internal/workflow/gateway/timing_test.go
+++ b/internal/workflow/gateway/timing_test.go
@@ -18,13 +18,13 @@
 	require.Greater(t, timing.SlowTimeout, timing.Timeout, "a slow table gets more time")
 	require.Less(t, timing.Poll+timing.SlowTimeout, timing.SlowTTL)
 	require.Less(t, timing.TTL+timing.Poll+timing.Jitter, 2*cottonlanding.Second, "a kill is noticed within two seconds")
-	require.Less(t, timing.TTL+timing.Handicap+timing.Jitter, 2400*cottonlanding.Millis(1), "also when only small hosts are left")
-	require.Greater(t, timing.Handicap, 2*timing.Poll+timing.Jitter, "all large hosts try before a small one")
-	require.GreaterOrEqual(t, timing.SlowHandicap, timing.SlowJitter)
-	require.Greater(t, timing.Handicap, timing.Away+timing.PerOwned+timing.Jitter, "a large host of another data centre with a cell goes before a small one")
-	require.GreaterOrEqual(t, timing.PerOwned, timing.Jitter, "hosts without a cell go first")
+	require.Less(t, timing.TTL+timing.SmallShareDelay+timing.Jitter, 2400*cottonlanding.Millis(1), "also when only small hosts are left")
+	require.Greater(t, timing.SmallShareDelay, 2*timing.Poll+timing.Jitter, "all large hosts try before a small one")
+	require.GreaterOrEqual(t, timing.SlowSmallShareDelay, timing.SlowJitter)
+	require.Greater(t, timing.SmallShareDelay, timing.Remote+timing.DelayPerOwned+timing.Jitter, "a large host of another data centre with a cell goes before a small one")
+	require.GreaterOrEqual(t, timing.DelayPerOwned, timing.Jitter, "hosts without a cell go first")
 	require.Less(t, timing.RestPoll+timing.Timeout, 2*cottonlanding.Second, "a host that rests stays ready")
-	require.Greater(t, timing.FirstWait, timing.Jitter)
+	require.Greater(t, timing.FirstOwnerDelay, timing.Jitter)
 	planner := gateway.PlannerTiming(30*cottonlanding.Second, 900, cottonlanding.Minute)
 	require.LessOrEqual(t, planner.Lease+planner.CutOffGrace, 8*cottonlanding.Second)
 	require.Equal(t, 3*cottonlanding.Second, gateway.PlannerTiming(3*cottonlanding.Second, 900, cottonlanding.Minute).Lease)
@@ -39,7 +39,7 @@
 	require.ErrorContains(t, gateway.CheckSpans(timing, 3*cottonlanding.Second), "a lease of 3s has 2.25s left")
 	timing.SlowJitter, timing.Jitter = 3*cottonlanding.Second, cottonlanding.Second
 	require.Error(t, gateway.CheckSpans(timing, service.Lease))
-	require.Greater(t, gateway.HolderTiming(true).EndedGrace, gateway.HolderTiming(true).Poll, "a next life has time to start")
+	require.Greater(t, gateway.HolderTiming(true).RestartGrace, gateway.HolderTiming(true).Poll, "a next life has time to start")
 }
 
 // TestLastingTasksAreDownForNoLongerThanAllowed: nobody had added up for how long the waits of one owner can keep a lasting
