--- a/internal/workflow/driver/calls.go
+++ b/internal/workflow/driver/calls.go
@@ -23,13 +23,13 @@
 // more would put it further behind.
 func (d *Driver) Submit(ctx context.Context, workflow cottonlanding.Workflow) error {
 	var referred *ReferredError
-	err := d.ask(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
+	err := d.update(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
 		if to, found := d.referral(cell, workflow, now); found {
 			referred = &ReferredError{to}
 			cell.Refer(workflow.ID, to, now, done)
 			return
 		}
-		d.keep(cell, workflow, now, done)
+		d.accept(cell, workflow, now, done)
 	})
 	if err == nil && referred != nil {
 		return referred
@@ -46,19 +46,19 @@
 		return 0, false
 	}
 	report, usable := cell.Report(now)
-	return d.deps.Refer(workflow, report, usable)
+	return d.deps.ReferralTarget(workflow, report, usable)
 }
 
 // Keep hands in a workflow that its home has referred to this cell. The errors are as
 // for Submit.
 func (d *Driver) Keep(ctx context.Context, workflow cottonlanding.Workflow) error {
-	return d.ask(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
-		d.keep(cell, workflow, now, done)
+	return d.update(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
+		d.accept(cell, workflow, now, done)
 	})
 }
 
-func (d *Driver) keep(cell *planner.Cell, workflow cottonlanding.Workflow, now cottonlanding.Millis, done func(error)) {
-	if d.behind.Load() && !cell.Knows(workflow.ID) {
+func (d *Driver) accept(cell *planner.Cell, workflow cottonlanding.Workflow, now cottonlanding.Millis, done func(error)) {
+	if d.overloaded.Load() && !cell.Knows(workflow.ID) {
 		done(fmt.Errorf("the owner is behind with its decisions: %w", cottonlanding.ErrUnavailable))
 		return
 	}
@@ -68,7 +68,7 @@
 // Cancel cancels a workflow. The errors are as for Submit.
 func (d *Driver) Cancel(ctx context.Context, id cottonlanding.WorkflowID) error {
 	var referred *ReferredError
-	err := d.ask(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
+	err := d.update(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
 		if to, found := cell.Referral(id); found && !cell.HandOverPending(id) {
 			referred = &ReferredError{to}
 			cell.Refer(id, to, now, done)
@@ -82,12 +82,12 @@
 	return err
 }
 
-func (d *Driver) ask(ctx context.Context, do func(*planner.Cell, cottonlanding.Millis, func(error))) error {
+func (d *Driver) update(ctx context.Context, do func(*planner.Cell, cottonlanding.Millis, func(error))) error {
 	if d.stalled.Load() {
 		return fmt.Errorf("the table can't be reached: %w", cottonlanding.ErrUnavailable)
 	}
 	done := make(chan error, 1)
-	if err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) {
+	if err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) {
 		if ctx.Err() != nil {
 			done <- fmt.Errorf("its caller has given up: %w", cottonlanding.ErrUnavailable)
 			return
@@ -97,7 +97,7 @@
 		return err
 	}
 	d.decisionsDue.Wake()
-	d.flushOrders()
+	d.wakeSender()
 	select {
 	case err := <-done:
 		return err
@@ -106,8 +106,8 @@
 	}
 }
 
-// with runs do on the cell, if it is loaded and surely owned.
-func (d *Driver) with(do func(*planner.Cell, cottonlanding.Millis)) error {
+// withCell runs do on the cell, if it is loaded and surely owned.
+func (d *Driver) withCell(do func(*planner.Cell, cottonlanding.Millis)) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.deps.Clock.Now()
@@ -119,8 +119,8 @@
 }
 
 // query returns what the cell answers, or nothing while it isn't owned.
-func query[T any](d *Driver, ask func(*planner.Cell, cottonlanding.Millis) T) (answer T) {
-	if err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) { answer = ask(cell, now) }); err != nil {
+func query[T any](d *Driver, read func(*planner.Cell, cottonlanding.Millis) T) (answer T) {
+	if err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) { answer = read(cell, now) }); err != nil {
 		return answer // the zero value
 	}
 	return answer
@@ -131,7 +131,7 @@
 	var state cottonlanding.WorkflowState
 	var to cottonlanding.CellNumber
 	found, referred := false, false
-	if err := d.with(func(cell *planner.Cell, _ cottonlanding.Millis) {
+	if err := d.withCell(func(cell *planner.Cell, _ cottonlanding.Millis) {
 		state, found = cell.State(id)
 		to, referred = cell.CommittedReferral(id)
 	}); err != nil {
@@ -149,15 +149,15 @@
 // Waiting counts the accepted workflows of a queue that have not begun.
 func (d *Driver) Waiting(queue cottonlanding.QueueName) (int, error) {
 	count := 0
-	err := d.with(func(cell *planner.Cell, _ cottonlanding.Millis) { count = cell.Waiting(queue) })
+	err := d.withCell(func(cell *planner.Cell, _ cottonlanding.Millis) { count = cell.Waiting(queue) })
 	return count, err
 }
 
 // Report returns what was left of the cell lately, and false if that isn't known or the
 // cell had no usable workers. It doesn't wait for decisions.
 func (d *Driver) Report() (planner.Report, bool) {
-	last := d.reported.Load()
-	if last == nil || d.deps.Clock.Now()-last.at > reportAge {
+	last := d.lastReport.Load()
+	if last == nil || d.deps.Clock.Now()-last.at > maxReportAge {
 		return planner.Report{}, false
 	}
 	return last.report, last.usable
@@ -165,15 +165,15 @@
 
 // OldReferrals returns up to a number of workflows that were referred long ago, with the
 // cells that keep them.
-func (d *Driver) OldReferrals(most int) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
+func (d *Driver) OldReferrals(limit int) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	return query(d, func(cell *planner.Cell, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
-		return cell.OldReferrals(most, now)
+		return cell.OldReferrals(limit, now)
 	})
 }
 
 // SettleReferral takes in whether the cell that keeps a referred workflow still knows it.
 func (d *Driver) SettleReferral(id cottonlanding.WorkflowID, known bool) {
-	err := d.with(func(cell *planner.Cell, now cottonlanding.Millis) {
+	err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) {
 		if known {
 			cell.RenewReferral(id, now)
 			return
@@ -197,4 +197,4 @@
 }
 
 // Progress returns how quickly this owner got on lately.
-func (d *Driver) Progress() Progress { return d.meter.progress() }
+func (d *Driver) Progress() Stats { return d.meter.stats() }
--- a/internal/workflow/driver/claim.go
+++ b/internal/workflow/driver/claim.go
@@ -35,7 +35,7 @@
 			return check, written, err
 		}
 		d.deps.Log.Warn("claim the cell", "Epoch", d.setup.Epoch, "Error", err)
-		d.sleep(loadPause)
+		d.sleep(loadRetryInterval)
 	}
 }
 
@@ -48,19 +48,19 @@
 	next := fence{Epoch: d.setup.Epoch, BoundsKeptSince: d.setup.Epoch}
 	write := cottonlanding.Write{Key: key}
 	for _, row := range rows {
-		var before fence
-		if err := json.Unmarshal(row.Value, &before); err != nil {
+		var previous fence
+		if err := json.Unmarshal(row.Value, &previous); err != nil {
 			return cottonlanding.Check{}, fence{}, fmt.Errorf("row %s: %w", key, err)
 		}
-		if before.Epoch == d.setup.Epoch {
-			return cottonlanding.Check{Key: key, Expect: row.Version}, before, nil // an answer was lost
+		if previous.Epoch == d.setup.Epoch {
+			return cottonlanding.Check{Key: key, Expect: row.Version}, previous, nil // an answer was lost
 		}
-		if before.Epoch > d.setup.Epoch {
-			return cottonlanding.Check{}, fence{}, fmt.Errorf("%w: epoch %d", errSuperseded, before.Epoch)
+		if previous.Epoch > d.setup.Epoch {
+			return cottonlanding.Check{}, fence{}, fmt.Errorf("%w: epoch %d", errSuperseded, previous.Epoch)
 		}
 		write.Expect = row.Version
-		if before.BoundsKeptSince > 0 {
-			next.BoundsKeptSince = before.BoundsKeptSince
+		if previous.BoundsKeptSince > 0 {
+			next.BoundsKeptSince = previous.BoundsKeptSince
 		}
 	}
 	write.Value = encodeFence(next)
--- a/internal/workflow/driver/claim_test.go
+++ b/internal/workflow/driver/claim_test.go
@@ -16,33 +16,33 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestFenceEndsOwnersBefore starts the owner of a later epoch while one before goes on to
+// TestFenceStopsEarlierOwners starts the owner of a later epoch while one before goes on to
 // believe in itself, as after a pause: what that one commits no longer counts, and one that
 // comes late with an earlier epoch does nothing at all.
-func TestFenceEndsOwnersBefore(t *testing.T) {
+func TestFenceStopsEarlierOwners(t *testing.T) {
 	clock, table := cottonlanding.NewClock(), keeper.New()
-	stand := runner.New(clock, func(cottonlanding.RunKey) runner.Fate { return runner.Fate{Lasts: 100} })
-	workers := []cottonlanding.WorkerInfo{labelled(stand, 0, "any", 10)}
-	drive := func(epoch cottonlanding.Epoch) (*driver.Driver, *atomic.Bool) {
+	fakeWorkers := runner.New(clock, func(cottonlanding.RunKey) runner.Fate { return runner.Fate{Lasts: 100} })
+	workers := []cottonlanding.WorkerInfo{addLabelledWorker(fakeWorkers, 0, "any", 10)}
+	startDriver := func(epoch cottonlanding.Epoch) (*driver.Driver, *atomic.Bool) {
 		lost := new(atomic.Bool)
-		deps := dependencies(t, clock, table, stand, workers)
-		deps.Lost = func() { lost.Store(true) }
+		deps := dependencies(t, clock, table, fakeWorkers, workers)
+		deps.OnLost = func() { lost.Store(true) }
 		d := driver.New(deps, planner.Setup{Partition: "Test", Epoch: epoch},
 			planner.Timing{Lease: 6000, CutOffGrace: 1000, StopTimeout: 200, Retention: cottonlanding.Minute}, selector.Default().Planner)
 		t.Cleanup(d.Close)
 		return d, lost
 	}
 	step := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 1000}}
-	first, firstLost := drive(3)
-	handIn(t, first, "before", step)
-	second, secondLost := drive(5)
-	handIn(t, second, "after", step)
+	first, firstLost := startDriver(3)
+	submitUntilAccepted(t, first, "before", step)
+	second, secondLost := startDriver(5)
+	submitUntilAccepted(t, second, "after", step)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	err := first.Submit(ctx, cottonlanding.Workflow{ID: "late", Queue: "Q", Steps: []cottonlanding.Step{step}})
 	require.Error(t, err, "its commits are fenced off")
 	require.Eventually(t, firstLost.Load, 10*time.Second, 5*time.Millisecond)
-	_, thirdLost := drive(4)
+	_, thirdLost := startDriver(4)
 	require.Eventually(t, thirdLost.Load, 10*time.Second, 5*time.Millisecond)
 	for _, id := range []cottonlanding.WorkflowID{"before", "after"} {
 		require.Eventually(t, func() bool {
@@ -53,5 +53,5 @@
 	_, err = second.State("late")
 	require.ErrorIs(t, err, cottonlanding.ErrNotFound)
 	require.False(t, secondLost.Load())
-	require.Empty(t, stand.Violations())
+	require.Empty(t, fakeWorkers.Violations())
 }
--- a/internal/workflow/driver/backlog_test.go
+++ b/internal/workflow/driver/commitlag_test.go
@@ -15,20 +15,20 @@
 // slowCommits takes a while for each commit.
 type slowCommits struct {
 	cottonlanding.Table
-	after time.Duration
+	delay time.Duration
 }
 
 func (s *slowCommits) Commit(ctx context.Context, transaction cottonlanding.Transaction) (cottonlanding.Receipt, error) {
-	time.Sleep(s.after)
+	time.Sleep(s.delay)
 	return s.Table.Commit(ctx, transaction)
 }
 
-// TestLeasesAreRenewedWhileCommitsLagBehind: more changes than a commit takes must not
+// TestLeaseRenewalDuringCommitLag: more changes than a commit takes must not
 // keep a worker from being looked at, though its ends are told as seen only later.
-func TestLeasesAreRenewedWhileCommitsLagBehind(t *testing.T) {
+func TestLeaseRenewalDuringCommitLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOwner(t, setup{workers: 4, room: 64, policy: spread(), table: func(inner cottonlanding.Table) cottonlanding.Table {
-			return &slowCommits{Table: inner, after: 100 * time.Millisecond}
+		o := newOwner(t, setup{workers: 4, tasksPerWorker: 64, policy: spreadPlacement(), table: func(inner cottonlanding.Table) cottonlanding.Table {
+			return &slowCommits{Table: inner, delay: 100 * time.Millisecond}
 		}})
 		defer o.driver.Close()
 		o.submit("lasting", cottonlanding.Step{Tasks: 4, Lasting: true})
--- a/internal/workflow/driver/cutplace_test.go
+++ b/internal/workflow/driver/datacentrepartition_test.go
@@ -15,36 +15,36 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// cutPlace is workers dealt over five data centres of which one can be cut off: what is sent there
+// partitionedClient is workers dealt over five data centres of which one can be cut off: what is sent there
 // gets no answer.
-type cutPlace struct {
+type partitionedClient struct {
 	cottonlanding.RunClient
-	cut *atomic.Bool
-	// startsThere counts the starts that were sent there while it was cut off.
-	startsThere *atomic.Int64
+	partitioned *atomic.Bool
+	// startsDuringPartition counts the starts that were sent there while it was cut off.
+	startsDuringPartition *atomic.Int64
 }
 
-const cutPlaces = 5
+const dataCentreCount = 5
 
-func (c cutPlace) unreachable(worker cottonlanding.WorkerRef) bool {
+func (c partitionedClient) unreachable(worker cottonlanding.WorkerRef) bool {
 	number, _ := strconv.Atoi(strings.TrimPrefix(string(worker.Life.Worker), "w"))
-	return c.cut.Load() && number%cutPlaces == 0
+	return c.partitioned.Load() && number%dataCentreCount == 0
 }
 
-func (c cutPlace) Start(ctx context.Context, worker cottonlanding.WorkerRef, start cottonlanding.RunStart) (cottonlanding.Reading, error) {
+func (c partitionedClient) Start(ctx context.Context, worker cottonlanding.WorkerRef, start cottonlanding.RunStart) (cottonlanding.Reading, error) {
 	if c.unreachable(worker) {
-		c.startsThere.Add(1)
+		c.startsDuringPartition.Add(1)
 		<-ctx.Done()
 		return 0, cottonlanding.ErrAmbiguous
 	}
 	return c.RunClient.Start(ctx, worker, start)
 }
 
-func (c cutPlace) Poll(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
+func (c partitionedClient) Poll(ctx context.Context, worker cottonlanding.WorkerRef, poll cottonlanding.Poll) (cottonlanding.RunReport, error) {
 	var report cottonlanding.RunReport
 	var err error
 	if !c.unreachable(worker) {
-		report, err = c.RunClient.Poll(ctx, worker, look)
+		report, err = c.RunClient.Poll(ctx, worker, poll)
 	}
 	if c.unreachable(worker) { // the answer may be cut off, too
 		<-ctx.Done()
@@ -53,23 +53,23 @@
 	return report, err
 }
 
-// TestNothingStartsInADataCentreThatIsCutOff plays the load of many short tasks while a data centre
+// TestFewStartsInPartitionedDataCentre plays the load of many short tasks while a data centre
 // is cut off: a start that is sent there waits for the end of the cut, and its job with it. Found
 // silent together, its workers get less than half of what each gets until it is found silent by
 // itself; once they answer, they are given tasks again.
-func TestNothingStartsInADataCentreThatIsCutOff(t *testing.T) {
+func TestFewStartsInPartitionedDataCentre(t *testing.T) {
 	const (
-		startsThereASecond = 100 / cutPlaces
-		noticed            = 400 * time.Millisecond
+		startsPerSecond = 100 / dataCentreCount
+		detectionTime   = 400 * time.Millisecond
 	)
 	started := make(map[bool]int64)
-	for _, plain := range []bool{true, false} {
+	for _, perWorker := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			var cut atomic.Bool
-			var startsThere atomic.Int64
-			o := newOwner(t, setup{workers: 250, room: 8, policy: spread(), places: cutPlaces, plainSilence: plain, apart: true,
+			var partitioned atomic.Bool
+			var startsDuringPartition atomic.Int64
+			o := newOwner(t, setup{workers: 250, tasksPerWorker: 8, policy: spreadPlacement(), dataCentres: dataCentreCount, perWorkerSilence: perWorker, spreadTasks: true,
 				client: func(client cottonlanding.RunClient) cottonlanding.RunClient {
-					return cutPlace{client, &cut, &startsThere}
+					return partitionedClient{client, &partitioned, &startsDuringPartition}
 				}})
 			load := func(name string, span time.Duration) {
 				for number := range int(span / (100 * time.Millisecond)) {
@@ -78,11 +78,11 @@
 				}
 			}
 			load("before", 2*time.Second)
-			cut.Store(true)
+			partitioned.Store(true)
 			load("cut", 4*time.Second)
-			cut.Store(false)
+			partitioned.Store(false)
 			time.Sleep(2 * time.Second)
-			started[plain] = startsThere.Load()
+			started[perWorker] = startsDuringPartition.Load()
 			before := o.runner.Starts()
 			load("after", 2*time.Second)
 			require.GreaterOrEqual(t, o.runner.Starts()-before, 200)
@@ -91,38 +91,38 @@
 	}
 	t.Logf("starts that were sent into the cut: %d worker by worker, %d as a place", started[true], started[false])
 	require.Less(t, started[false], started[true])
-	require.LessOrEqual(t, started[false], int64(startsThereASecond*noticed/time.Second))
+	require.LessOrEqual(t, started[false], int64(startsPerSecond*detectionTime/time.Second))
 }
 
-// TestCutHoldsUpTheWorkflowsOfOneDataCentre plays the same load with workflows of twenty tasks that
+// TestColocationLimitsPartitionImpact plays the same load with workflows of twenty tasks that
 // take a second when the cut begins: kept together, it holds up no more of them than the part of
 // the data centres that it takes and one that was being placed; dealt out, it holds up all.
-func TestCutHoldsUpTheWorkflowsOfOneDataCentre(t *testing.T) {
+func TestColocationLimitsPartitionImpact(t *testing.T) {
 	const workflows, tasks = 30, 20
-	heldUp := make(map[bool]int)
-	for _, apart := range []bool{true, false} {
+	delayed := make(map[bool]int)
+	for _, spreadTasks := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			var cut atomic.Bool
-			var startsThere atomic.Int64
-			o := newOwner(t, setup{workers: 100, room: 16, policy: spread(), places: cutPlaces, apart: apart,
+			var partitioned atomic.Bool
+			var startsDuringPartition atomic.Int64
+			o := newOwner(t, setup{workers: 100, tasksPerWorker: 16, policy: spreadPlacement(), dataCentres: dataCentreCount, spreadTasks: spreadTasks,
 				client: func(client cottonlanding.RunClient) cottonlanding.RunClient {
-					return cutPlace{client, &cut, &startsThere}
+					return partitionedClient{client, &partitioned, &startsDuringPartition}
 				}})
 			for number := range workflows {
 				o.submit(cottonlanding.WorkflowID(fmt.Sprintf("w%d", number)), cottonlanding.Step{Tasks: tasks, Estimate: 200})
 			}
 			o.eventually("all tasks run", func() bool { return o.runner.Starts() == workflows*tasks })
-			cut.Store(true)
+			partitioned.Store(true)
 			time.Sleep(3 * time.Second)
 			for number := range workflows {
 				if state, err := o.driver.State(cottonlanding.WorkflowID(fmt.Sprintf("w%d", number))); err != nil || state != cottonlanding.WorkflowSucceeded {
-					heldUp[apart]++
+					delayed[spreadTasks]++
 				}
 			}
 			o.driver.Close()
 		})
 	}
-	t.Logf("of %d workflows %d are held up if dealt out, %d if kept together", workflows, heldUp[true], heldUp[false])
-	require.Greater(t, heldUp[true], 2*heldUp[false])
-	require.LessOrEqual(t, heldUp[false], workflows/cutPlaces+1)
+	t.Logf("of %d workflows %d are held up if dealt out, %d if kept together", workflows, delayed[true], delayed[false])
+	require.Greater(t, delayed[true], 2*delayed[false])
+	require.LessOrEqual(t, delayed[false], workflows/dataCentreCount+1)
 }
--- a/internal/workflow/driver/downspans.go
+++ b/internal/workflow/driver/downtime.go
@@ -2,11 +2,11 @@
 
 import "github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 
-// turnSpan is how long it takes at most, while the table and the host are as usual, from what is known to the order that
+// maxOrderDelay is how long it takes at most, while the table and the host are as usual, from what is known to the order that
 // follows from it: two ticks, of the decision and of what is sent, and a commit.
-const turnSpan = 3 * tick
+const maxOrderDelay = 3 * tick
 
 // CheckDown is planner.CheckDown with the spans of a driver.
 func CheckDown(timing planner.Timing) error {
-	return planner.CheckDown(timing, callTimeout, turnSpan)
+	return planner.CheckDown(timing, callTimeout, maxOrderDelay)
 }
--- a/internal/workflow/driver/driver.go
+++ b/internal/workflow/driver/driver.go
@@ -23,34 +23,34 @@
 const (
 	// tick is the longest time between two decisions.
 	tick = 100 * cottonlanding.Millis(1)
-	// spacing is the least time between two transactions, so that what happens
+	// coalescingInterval is the least time between two transactions, so that what happens
 	// meanwhile shares the next one; the table takes about 15 ms for one.
-	spacing = 15 * cottonlanding.Millis(1)
-	// writesPerTransaction keeps a transaction below the table's 100 entries.
-	writesPerTransaction = 95
-	tableTimeout         = cottonlanding.Second
+	coalescingInterval = 15 * cottonlanding.Millis(1)
+	// maxWritesPerTransaction keeps a transaction below the table's 100 entries.
+	maxWritesPerTransaction = 95
+	tableTimeout            = cottonlanding.Second
 	// callTimeout bounds an order, and a look beyond the wait that it asks for.
-	callTimeout = cottonlanding.Second
-	loadPause   = 100 * cottonlanding.Millis(1)
-	// firstPage is how many rows are read at once at first: with the usual payloads they
+	callTimeout       = cottonlanding.Second
+	loadRetryInterval = 100 * cottonlanding.Millis(1)
+	// initialPageSize is how many rows are read at once at first: with the usual payloads they
 	// come over a link of 10 Mbit/s within a quarter of tableTimeout. A page that doesn't
 	// arrive is halved, down to leastPage.
-	firstPage = 150
-	leastPage = 25
-	// behindAfter is how long a decision takes at most for new work to be accepted: what
+	initialPageSize = 150
+	minPageSize     = 25
+	// overloadThreshold is how long a decision takes at most for new work to be accepted: what
 	// comes just after it began waits for it, for as long a pause, for the next decision
 	// and for a commit, and has 1.2 s for all of that.
-	behindAfter = 350 * cottonlanding.Millis(1)
-	// slowCommit is from how long a commit on the table counts as slow.
-	slowCommit = 300 * cottonlanding.Millis(1)
-	// reportAge is how old what is left of a cell may be to be told: three beats.
-	reportAge = 900 * cottonlanding.Millis(1)
-	// mostPromptLooks bounds the looks that ask for an answer at once, promptHold is how
+	overloadThreshold = 350 * cottonlanding.Millis(1)
+	// slowCommitThreshold is from how long a commit on the table counts as slow.
+	slowCommitThreshold = 300 * cottonlanding.Millis(1)
+	// maxReportAge is how old what is left of a cell may be to be told: three beats.
+	maxReportAge = 900 * cottonlanding.Millis(1)
+	// maxImmediatePolls bounds the looks that ask for an answer at once, promptHold is how
 	// long one counts as such while others are answered sooner. A small host takes some 10 ms
 	// for each: it reads the answers within callTimeout, and workers that are cut off don't
 	// hold up the others for more than a second.
-	mostPromptLooks = 32
-	promptHold      = 250 * cottonlanding.Millis(1)
+	maxImmediatePolls = 32
+	pollSlotTimeout   = 250 * cottonlanding.Millis(1)
 )
 
 // Dependencies are what a driver works with.
@@ -73,23 +73,23 @@
 	Evacuations func() cottonlanding.Evacuations
 	// ValidUntil returns until when this process surely owns the cell.
 	ValidUntil func() cottonlanding.Millis
-	// Refer returns the cell that is to keep a new workflow, if it isn't this one, of
+	// ReferralTarget returns the cell that is to keep a new workflow, if it isn't this one, of
 	// which it gets what is left, and whether it has usable workers.
-	Refer func(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool)
-	// Move returns the cell to which a workflow that waits is to be handed over, by the same.
-	Move func(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool)
+	ReferralTarget func(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool)
+	// HandOverTarget returns the cell to which a workflow that waits is to be handed over, by the same.
+	HandOverTarget func(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool)
 	// Deliver tells another cell of a workflow that it is to keep.
 	Deliver func(ctx context.Context, workflow cottonlanding.Workflow, to cottonlanding.CellNumber) error
 	// Delegate returns the cells that are to run tasks which wait without room here.
 	Delegate func([]planner.DelegableTask) []planner.Delegation
-	// AskGuests asks another cell about the tasks that it is to run for this one.
-	AskGuests func(ctx context.Context, to cottonlanding.CellNumber, question planner.DelegationRequest) (planner.DelegationResponse, error)
-	// Home reports whether this cell is the home of a workflow.
-	Home func(cottonlanding.WorkflowID) bool
+	// SendDelegationRequest asks another cell about the tasks that it is to run for this one.
+	SendDelegationRequest func(ctx context.Context, to cottonlanding.CellNumber, question planner.DelegationRequest) (planner.DelegationResponse, error)
+	// IsHome reports whether this cell is the home of a workflow.
+	IsHome func(cottonlanding.WorkflowID) bool
 	// Siblings returns the partitions of all other cells.
 	Siblings func() []cottonlanding.Partition
-	// Lost is called once when another owner was seen.
-	Lost func()
+	// OnLost is called once when another owner was seen.
+	OnLost func()
 }
 
 // Driver drives one cell during one ownership.
@@ -99,45 +99,45 @@
 	timing planner.Timing
 	policy planner.Policy
 
-	mu       sync.Mutex // guards the fields below
-	cell     *planner.Cell
-	attended map[cottonlanding.WorkerID]waker.Waker
-	listed   []cottonlanding.WorkerInfo
-	// movedAt is when it was last looked for workflows to hand over, delegatedAt for tasks to delegate.
-	movedAt     cottonlanding.Millis
-	delegatedAt cottonlanding.Millis
+	mu             sync.Mutex // guards the fields below
+	cell           *planner.Cell
+	pollers        map[cottonlanding.WorkerID]waker.Waker
+	lastWorkerList []cottonlanding.WorkerInfo
+	// lastHandOverAt is when it was last looked for workflows to hand over, delegatedAt for tasks to delegate.
+	lastHandOverAt   cottonlanding.Millis
+	lastDelegationAt cottonlanding.Millis
 
-	committer *committer.Committer
-	outbox    *outbox
-	cordon    *cordon
-	meter     *meter
-	stalled   atomic.Bool
-	// behind says that the last decision took longer than behindAfter.
-	behind atomic.Bool
-	// reported is what was left of the cell after the last decision.
-	reported atomic.Pointer[reported]
-	// asksGuests says that other cells are asked about tasks that they run, guestsDue has that done soon.
-	asksGuests bool
-	guestsDue  waker.Waker
+	committer      *committer.Committer
+	outbox         *outbox
+	startValidator *startValidator
+	meter          *meter
+	stalled        atomic.Bool
+	// overloaded says that the last decision took longer than behindAfter.
+	overloaded atomic.Bool
+	// lastReport is what was left of the cell after the last decision.
+	lastReport atomic.Pointer[lastReport]
+	// requestsDelegation says that other cells are asked about tasks that they run, guestsDue has that done soon.
+	requestsDelegation    bool
+	delegationRequestsDue waker.Waker
 	// decisionsDue and ordersDue wake the two loops before their next tick.
 	decisionsDue waker.Waker
 	ordersDue    waker.Waker
-	// promptLooks holds a place for each look that asks for an answer at once.
-	promptLooks chan struct{}
-	// promptTook is how long the last of those that was answered took, in milliseconds.
-	promptTook atomic.Int64
+	// pollSlots holds a place for each look that asks for an answer at once.
+	pollSlots chan struct{}
+	// lastImmediatePollTook is how long the last of those that was answered took, in milliseconds.
+	lastImmediatePollTook atomic.Int64
 	// stopping ends the decisions, ended tells that they have ended.
-	stopping chan struct{}
-	ended    chan struct{}
-	stopOnce sync.Once
-	endOnce  sync.Once
-	ctx      context.Context
-	cancel   context.CancelFunc
-	work     sync.WaitGroup
+	stopping       chan struct{}
+	decisionsEnded chan struct{}
+	stopOnce       sync.Once
+	endOnce        sync.Once
+	ctx            context.Context
+	cancel         context.CancelFunc
+	work           sync.WaitGroup
 }
 
-// reported is what was left of a cell at an instant.
-type reported struct {
+// lastReport is what was left of a cell at an instant.
+type lastReport struct {
 	report planner.Report
 	usable bool
 	at     cottonlanding.Millis
@@ -147,28 +147,28 @@
 func New(deps Dependencies, setup planner.Setup, timing planner.Timing, policy planner.Policy) *Driver {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Driver{
-		deps:         deps,
-		setup:        setup,
-		timing:       timing,
-		policy:       policy,
-		attended:     make(map[cottonlanding.WorkerID]waker.Waker),
-		promptLooks:  make(chan struct{}, mostPromptLooks),
-		outbox:       newOutbox(),
-		cordon:       newCordon(deps),
-		meter:        newMeter(deps.Log),
-		guestsDue:    waker.New(),
-		decisionsDue: waker.New(),
-		ordersDue:    waker.New(),
-		stopping:     make(chan struct{}),
-		ended:        make(chan struct{}),
-		ctx:          ctx,
-		cancel:       cancel,
+		deps:                  deps,
+		setup:                 setup,
+		timing:                timing,
+		policy:                policy,
+		pollers:               make(map[cottonlanding.WorkerID]waker.Waker),
+		pollSlots:             make(chan struct{}, maxImmediatePolls),
+		outbox:                newOutbox(),
+		startValidator:        newStartValidator(deps),
+		meter:                 newMeter(deps.Log),
+		delegationRequestsDue: waker.New(),
+		decisionsDue:          waker.New(),
+		ordersDue:             waker.New(),
+		stopping:              make(chan struct{}),
+		decisionsEnded:        make(chan struct{}),
+		ctx:                   ctx,
+		cancel:                cancel,
 	}
 	lane := setup.Partition.Key("Lanes/" + uuid.NewString())
 	d.committer = committer.New(deps.Table, deps.Clock, lane,
-		committer.WithSpacing(0), committer.WithMaxWrites(writesPerTransaction), committer.WithTimeout(tableTimeout))
+		committer.WithSpacing(0), committer.WithMaxWrites(maxWritesPerTransaction), committer.WithTimeout(tableTimeout))
 	d.work.Go(func() {
-		defer close(d.ended)
+		defer close(d.decisionsEnded)
 		d.run()
 	})
 	return d
@@ -178,7 +178,7 @@
 func (d *Driver) Release(ctx context.Context) {
 	d.stopOnce.Do(func() { close(d.stopping) })
 	select {
-	case <-d.ended:
+	case <-d.decisionsEnded:
 		d.flush(ctx)
 	case <-ctx.Done():
 	}
@@ -229,7 +229,7 @@
 	guard, written, err := d.claim()
 	if err != nil {
 		if d.ctx.Err() == nil {
-			d.lose(err.Error())
+			d.reportLost(err.Error())
 		}
 		return
 	}
@@ -242,14 +242,14 @@
 	d.cell = cell
 	d.mu.Unlock()
 	d.work.Go(d.sendOrders)
-	d.work.Go(d.applyAnswers)
-	d.work.Go(d.followSiblings)
+	d.work.Go(d.applyResults)
+	d.work.Go(d.followLearnt)
 	d.work.Go(d.deliverAll)
 	turns := ticker.New(tick)
 	defer turns.Stop()
 	for {
-		took, goOn := d.turn()
-		if !goOn {
+		took, owned := d.turn()
+		if !owned {
 			return
 		}
 		d.await(d.stopping, pauseAfter(took))
@@ -269,7 +269,7 @@
 // the lock, with them. The time of the commit is theirs already.
 func pauseAfter(took turnTimes) cottonlanding.Millis {
 	deciding, turn := took.decided-took.began, took.ended-took.began
-	return max(0, spacing-turn, 2*deciding-turn)
+	return max(0, coalescingInterval-turn, 2*deciding-turn)
 }
 
 // turn decides and commits; false means that the cell is lost.
@@ -290,31 +290,31 @@
 	plan := d.cell.Plan(now)
 	superseded := d.cell.Superseded()
 	report, usable := d.cell.Report(now)
-	d.reported.Store(&reported{report, usable, now})
+	d.lastReport.Store(&lastReport{report, usable, now})
 	took.decided = d.deps.Clock.Now()
-	d.recordBehind(took.decided - took.began)
+	d.recordDecisionTime(took.decided - took.began)
 	d.mu.Unlock()
 	if superseded {
-		d.lose("a worker has seen a newer owner")
+		d.reportLost("a worker has seen a newer owner")
 		return took, false
 	}
 	if plan != nil {
 		if err := d.commit(plan); err != nil {
 			if d.ctx.Err() == nil {
-				d.lose(err.Error())
+				d.reportLost(err.Error())
 			}
 			return took, false
 		}
 	}
-	d.flushOrders()
+	d.wakeSender()
 	took.ended = d.deps.Clock.Now()
 	d.meter.recordTurn(took)
 	return took, true
 }
 
-func (d *Driver) lose(why string) {
-	d.deps.Log.Warn("workflows lost to another owner", "Epoch", d.setup.Epoch, "Why", why)
-	d.deps.Lost()
+func (d *Driver) reportLost(reason string) {
+	d.deps.Log.Warn("workflows lost to another owner", "Epoch", d.setup.Epoch, "Why", reason)
+	d.deps.OnLost()
 }
 
 // commit commits a plan; it returns once that is certain, or never can be.
@@ -342,11 +342,11 @@
 			}
 			d.mu.Lock()
 			d.cell.Committed(plan, result.receipt.Version)
-			d.cell.SetTableSlow(d.deps.Clock.Now()-began >= slowCommit)
+			d.cell.SetTableSlow(d.deps.Clock.Now()-began >= slowCommitThreshold)
 			if d.cell.TakeDelegationChange() {
-				d.guestsDue.Wake()
+				d.delegationRequestsDue.Wake()
 			}
-			d.wakeAttendants()
+			d.wakePollers()
 			d.mu.Unlock()
 			return nil
 		case <-time.After(tick.Duration()):
@@ -357,10 +357,10 @@
 	}
 }
 
-func (d *Driver) recordBehind(decided cottonlanding.Millis) {
-	behind := decided > behindAfter
-	if d.behind.Swap(behind) != behind {
-		d.deps.Log.Warn("decisions", "Behind", behind, "Took", decided)
+func (d *Driver) recordDecisionTime(took cottonlanding.Millis) {
+	overloaded := took > overloadThreshold
+	if d.overloaded.Swap(overloaded) != overloaded {
+		d.deps.Log.Warn("decisions", "Behind", overloaded, "Took", took)
 	}
 }
 
--- a/internal/workflow/driver/driver_test.go
+++ b/internal/workflow/driver/driver_test.go
@@ -17,7 +17,7 @@
 // slowStarts answers starts of workflow "slow" only after a while.
 type slowStarts struct {
 	cottonlanding.RunClient
-	after   time.Duration
+	delay   time.Duration
 	pending atomic.Int64
 }
 
@@ -28,27 +28,27 @@
 	s.pending.Add(1)
 	defer s.pending.Add(-1)
 	select {
-	case <-time.After(s.after):
+	case <-time.After(s.delay):
 		return s.RunClient.Start(ctx, worker, start)
 	case <-ctx.Done():
 		return 0, cottonlanding.ErrAmbiguous
 	}
 }
 
-// heldTable can hold its commits back.
-type heldTable struct {
+// blockingTable can hold its commits back.
+type blockingTable struct {
 	cottonlanding.Table
-	mu   sync.Mutex
-	held chan struct{}
+	mu        sync.Mutex
+	unblocked chan struct{}
 }
 
-func (h *heldTable) Commit(ctx context.Context, transaction cottonlanding.Transaction) (cottonlanding.Receipt, error) {
+func (h *blockingTable) Commit(ctx context.Context, transaction cottonlanding.Transaction) (cottonlanding.Receipt, error) {
 	h.mu.Lock()
-	held := h.held
+	unblocked := h.unblocked
 	h.mu.Unlock()
-	if held != nil {
+	if unblocked != nil {
 		select {
-		case <-held:
+		case <-unblocked:
 		case <-ctx.Done():
 			return cottonlanding.Receipt{}, cottonlanding.ErrUnavailable
 		}
@@ -56,18 +56,18 @@
 	return h.Table.Commit(ctx, transaction)
 }
 
-func (h *heldTable) hold(held chan struct{}) {
+func (h *blockingTable) hold(unblocked chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.held = held
+	h.unblocked = unblocked
 }
 
 // TestOwnerUnderLoad: what must reach a worker in time must not wait for what can.
 func TestOwnerUnderLoad(t *testing.T) {
 	t.Run("a stop does not wait for other orders to its worker", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			starts := &slowStarts{after: 900 * time.Millisecond}
-			o := newOwner(t, setup{workers: 1, room: 32, policy: spread(), client: func(client cottonlanding.RunClient) cottonlanding.RunClient {
+			starts := &slowStarts{delay: 900 * time.Millisecond}
+			o := newOwner(t, setup{workers: 1, tasksPerWorker: 32, policy: spreadPlacement(), client: func(client cottonlanding.RunClient) cottonlanding.RunClient {
 				starts.RunClient = client
 				return starts
 			}})
@@ -84,9 +84,9 @@
 	})
 	t.Run("a stop does not wait for a later commit", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			table := &heldTable{}
+			table := &blockingTable{}
 			var refuse atomic.Bool
-			o := newOwner(t, setup{workers: 1, room: 32, policy: spread(),
+			o := newOwner(t, setup{workers: 1, tasksPerWorker: 32, policy: spreadPlacement(),
 				table: func(inner cottonlanding.Table) cottonlanding.Table {
 					table.Table = inner
 					return table
@@ -99,18 +99,18 @@
 			o.eventually("the lasting task runs", func() bool { return o.runner.Lasting() == 1 })
 			refuse.Store(true)
 			o.cancel("lasting")
-			held := make(chan struct{})
-			table.hold(held)
+			unblocked := make(chan struct{})
+			table.hold(unblocked)
 			go o.offer("next", cottonlanding.Step{Tasks: 1}) // its commit is held back
 			cancelled := time.Now()
 			o.eventually("the stop arrives", func() bool { return o.runner.Lasting() == 0 })
 			require.Less(t, time.Since(cancelled), 600*time.Millisecond)
-			close(held)
+			close(unblocked)
 		})
 	})
 	t.Run("decisions leave time for the rest", func(t *testing.T) {
-		policy := &costly{PlacementPolicy: spread(), cost: time.Millisecond}
-		o := newOwner(t, setup{workers: 40, room: 100, policy: policy})
+		policy := &costlyPlacement{PlacementPolicy: spreadPlacement(), cost: time.Millisecond}
+		o := newOwner(t, setup{workers: 40, tasksPerWorker: 100, policy: policy})
 		defer o.driver.Close()
 		o.submit("first", cottonlanding.Step{Tasks: 1})
 		policy.spent.Store(0)
@@ -125,14 +125,14 @@
 	})
 }
 
-// silentStarts gives the first start no answer, as a connection does that went
+// unansweredStart gives the first start no answer, as a connection does that went
 // silent, and counts the others.
-type silentStarts struct {
+type unansweredStart struct {
 	cottonlanding.RunClient
 	sent atomic.Int64
 }
 
-func (s *silentStarts) Start(ctx context.Context, worker cottonlanding.WorkerRef, start cottonlanding.RunStart) (cottonlanding.Reading, error) {
+func (s *unansweredStart) Start(ctx context.Context, worker cottonlanding.WorkerRef, start cottonlanding.RunStart) (cottonlanding.Reading, error) {
 	if s.sent.Add(1) == 1 {
 		<-ctx.Done()
 		return 0, cottonlanding.ErrAmbiguous
@@ -140,12 +140,12 @@
 	return s.RunClient.Start(ctx, worker, start)
 }
 
-// TestNoStartOnceItIsToBeStopped: a start that waits behind an order without an
+// TestStopCancelsQueuedStart: a start that waits behind an order without an
 // answer must not be sent once its run is to be stopped.
-func TestNoStartOnceItIsToBeStopped(t *testing.T) {
+func TestStopCancelsQueuedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		starts := &silentStarts{}
-		o := newOwner(t, setup{workers: 1, room: 32, policy: spread(), client: func(client cottonlanding.RunClient) cottonlanding.RunClient {
+		starts := &unansweredStart{}
+		o := newOwner(t, setup{workers: 1, tasksPerWorker: 32, policy: spreadPlacement(), client: func(client cottonlanding.RunClient) cottonlanding.RunClient {
 			starts.RunClient = client
 			return starts
 		}})
@@ -158,23 +158,23 @@
 	})
 }
 
-// slowAnswers takes the processor of the owner for a while for each look that holds
+// slowPolls takes the processor of the owner for a while for each look that holds
 // nothing back, one after the other, as on a small host.
-type slowAnswers struct {
+type slowPolls struct {
 	cottonlanding.RunClient
 	cost      time.Duration
 	processor chan struct{}
-	// silent workers give no answer.
-	silent   func(cottonlanding.WorkerID) bool
-	failed   atomic.Int64
-	answered sync.Map
+	// unresponsive workers give no answer.
+	unresponsive func(cottonlanding.WorkerID) bool
+	failed       atomic.Int64
+	answered     sync.Map
 }
 
-func (s *slowAnswers) Poll(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
-	if look.Wait > 0 {
-		return s.RunClient.Poll(ctx, worker, look)
+func (s *slowPolls) Poll(ctx context.Context, worker cottonlanding.WorkerRef, poll cottonlanding.Poll) (cottonlanding.RunReport, error) {
+	if poll.Wait > 0 {
+		return s.RunClient.Poll(ctx, worker, poll)
 	}
-	if s.silent(worker.Life.Worker) {
+	if s.unresponsive(worker.Life.Worker) {
 		<-ctx.Done()
 		return cottonlanding.RunReport{}, cottonlanding.ErrAmbiguous
 	}
@@ -186,21 +186,21 @@
 		return cottonlanding.RunReport{}, cottonlanding.ErrAmbiguous
 	}
 	s.answered.Store(worker.Life.Worker, true)
-	return s.RunClient.Poll(ctx, worker, look)
+	return s.RunClient.Poll(ctx, worker, poll)
 }
 
-// TestNewOwnerAsksSomeWorkersAtATime: looks that are all sent at once by an owner too
+// TestNewOwnerLimitsConcurrentPolls: looks that are all sent at once by an owner too
 // slow to read the answers in time come to nothing, and are sent again. Workers that
 // are silent must not hold up the others.
-func TestNewOwnerAsksSomeWorkersAtATime(t *testing.T) {
-	ask := func(t *testing.T, workers int, cost time.Duration, silent int) (*slowAnswers, time.Duration) {
-		answers := &slowAnswers{cost: cost, processor: make(chan struct{}, 1), silent: func(id cottonlanding.WorkerID) bool {
+func TestNewOwnerLimitsConcurrentPolls(t *testing.T) {
+	pollAll := func(t *testing.T, workers int, cost time.Duration, unresponsive int) (*slowPolls, time.Duration) {
+		answers := &slowPolls{cost: cost, processor: make(chan struct{}, 1), unresponsive: func(id cottonlanding.WorkerID) bool {
 			var number int
 			_, err := fmt.Sscanf(string(id), "w%d", &number)
 			require.NoError(t, err)
-			return number < silent
+			return number < unresponsive
 		}}
-		o := newOwner(t, setup{workers: workers, room: 32, policy: spread(), client: func(client cottonlanding.RunClient) cottonlanding.RunClient {
+		o := newOwner(t, setup{workers: workers, tasksPerWorker: 32, policy: spreadPlacement(), client: func(client cottonlanding.RunClient) cottonlanding.RunClient {
 			answers.RunClient = client
 			return answers
 		}})
@@ -209,19 +209,19 @@
 		o.eventually("all workers that aren't silent have answered", func() bool {
 			count := 0
 			answers.answered.Range(func(any, any) bool { count++; return true })
-			return count == workers-silent
+			return count == workers-unresponsive
 		})
 		return answers, time.Since(began)
 	}
 	t.Run("slow owner", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			answers, _ := ask(t, 350, 10*time.Millisecond, 0)
+			answers, _ := pollAll(t, 350, 10*time.Millisecond, 0)
 			require.Zero(t, answers.failed.Load(), "looks whose answers came too late")
 		})
 	})
 	t.Run("silent workers", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			_, took := ask(t, 350, 100*time.Microsecond, 350/3)
+			_, took := pollAll(t, 350, 100*time.Microsecond, 350/3)
 			require.Less(t, took, time.Second)
 		})
 	})
@@ -240,14 +240,14 @@
 	return f.RunClient.Stop(ctx, worker, run, epoch)
 }
 
-// costly is a policy that takes a while for each task, as on a slow processor.
-type costly struct {
+// costlyPlacement is a policy that takes a while for each task, as on a slow processor.
+type costlyPlacement struct {
 	cottonlanding.PlacementPolicy
 	cost  time.Duration
 	spent atomic.Int64
 }
 
-func (c *costly) Place(task cottonlanding.TaskView, candidates []cottonlanding.WorkerView) int {
+func (c *costlyPlacement) Place(task cottonlanding.TaskView, candidates []cottonlanding.WorkerView) int {
 	began := time.Now()
 	time.Sleep(c.cost)
 	c.spent.Add(int64(time.Since(began)))
--- a/internal/workflow/driver/evacuate_test.go
+++ b/internal/workflow/driver/evacuate_test.go
@@ -10,32 +10,32 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/driver"
 )
 
-// evacuationWithin is the promise: how long after an evacuation is acknowledged a host in
+// evacuationDeadline is the promise: how long after an evacuation is acknowledged a host in
 // touch may still start something there.
-const evacuationWithin = 5 * time.Second
+const evacuationDeadline = 5 * time.Second
 
-// knownOnce returns as of when something is known: as of now, or as of an instant once that is
+// readingTime returns as of when something is known: as of now, or as of an instant once that is
 // set, when the readings have stopped.
-func knownOnce(clock cottonlanding.Clock, stopped *atomic.Int64) cottonlanding.Millis {
+func readingTime(clock cottonlanding.Clock, stopped *atomic.Int64) cottonlanding.Millis {
 	if at := stopped.Load(); at > 0 {
 		return cottonlanding.Millis(at)
 	}
 	return clock.Now() + 1
 }
 
-// stoppedAt is when readings stop, while the first start is under way.
-const stoppedAt = 500
+// readingsStopAt is when readings stop, while the first start is under way.
+const readingsStopAt = 500
 
-// TestNoStartOnceItsDataCentreIsEvacuated: a start that waits behind others isn't sent once
+// TestEvacuationCancelsQueuedStarts: a start that waits behind others isn't sent once
 // its data centre is known to be evacuated.
-func TestNoStartOnceItsDataCentreIsEvacuated(t *testing.T) {
+func TestEvacuationCancelsQueuedStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var evacuated atomic.Bool
-		starts := playQueue(t, func(deps *driver.Dependencies) {
+		starts := startQueuedRuns(t, func(deps *driver.Dependencies) {
 			deps.Evacuations = func() cottonlanding.Evacuations {
 				now := cottonlanding.Evacuations{ReadAt: deps.Clock.Now()}
 				if evacuated.Load() {
-					now.InForce = map[cottonlanding.DataCentre]cottonlanding.Evacuation{queueAt: {DataCentre: queueAt, Version: 7}}
+					now.InForce = map[cottonlanding.DataCentre]cottonlanding.Evacuation{queueDataCentre: {DataCentre: queueDataCentre, Version: 7}}
 				}
 				return now
 			}
@@ -47,34 +47,34 @@
 	})
 }
 
-// TestNoStartOnAnOldReading: an owner whose readings of the operators' table stop doesn't know
+// TestStaleEvacuationsBlockStarts: an owner whose readings of the operators' table stop doesn't know
 // what is evacuated. Nothing starts later than the promise allows after the last reading, and
 // all goes on with the next one.
-func TestNoStartOnAnOldReading(t *testing.T) {
+func TestStaleEvacuationsBlockStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Int64
-		starts := playQueue(t, func(deps *driver.Dependencies) {
+		starts := startQueuedRuns(t, func(deps *driver.Dependencies) {
 			deps.Evacuations = func() cottonlanding.Evacuations {
-				return cottonlanding.Evacuations{ReadAt: knownOnce(deps.Clock, &stopped)}
+				return cottonlanding.Evacuations{ReadAt: readingTime(deps.Clock, &stopped)}
 			}
 		})
-		stopped.Store(stoppedAt)
-		starts.requireNoneAfter(t, evacuationWithin-time.Second, "starts on an old reading") // one that is sent may take a second
+		stopped.Store(readingsStopAt)
+		starts.requireNoneAfter(t, evacuationDeadline-time.Second, "starts on an old reading") // one that is sent may take a second
 		stopped.Store(0)
 		starts.requireSomeSoon(t, "starts with newer readings")
 	})
 }
 
-// TestNoStartOnAnOldList: with a list of workers that is behind, the owner doesn't know who
+// TestStaleWorkerListBlocksStarts: with a list of workers that is behind, the owner doesn't know who
 // leaves. Nothing starts later than drainWithin after the last complete one.
-func TestNoStartOnAnOldList(t *testing.T) {
+func TestStaleWorkerListBlocksStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Int64
-		starts := playQueue(t, func(deps *driver.Dependencies) {
-			deps.ListedAt = func() cottonlanding.Millis { return knownOnce(deps.Clock, &stopped) }
+		starts := startQueuedRuns(t, func(deps *driver.Dependencies) {
+			deps.ListedAt = func() cottonlanding.Millis { return readingTime(deps.Clock, &stopped) }
 		})
-		stopped.Store(stoppedAt)
-		starts.requireNoneAfter(t, drainWithin, "starts on an old list")
+		stopped.Store(readingsStopAt)
+		starts.requireNoneAfter(t, leavingDeadline, "starts on an old list")
 		stopped.Store(0)
 		starts.requireSomeSoon(t, "starts with newer lists")
 	})
--- a/internal/workflow/driver/golden_test.go
+++ b/internal/workflow/driver/golden_test.go
@@ -23,7 +23,7 @@
 // TestGoldenLane guards against owners whose lanes stand where others don't look for them.
 func TestGoldenLane(t *testing.T) {
 	table := keeper.New()
-	o := newOwner(t, setup{workers: 1, room: 1, policy: spread(), table: func(cottonlanding.Table) cottonlanding.Table { return table }})
+	o := newOwner(t, setup{workers: 1, tasksPerWorker: 1, policy: spreadPlacement(), table: func(cottonlanding.Table) cottonlanding.Table { return table }})
 	defer o.driver.Close()
 	o.submit("w", cottonlanding.Step{Tasks: 1})
 	rows, err := table.Scan(t.Context(), partition.Key(""), "", 100)
--- a/internal/workflow/driver/load.go
+++ b/internal/workflow/driver/load.go
@@ -12,31 +12,31 @@
 
 // load reads the rows of the predecessor until that succeeds.
 func (d *Driver) load() *planner.Cell {
-	page := firstPage
+	pageSize := initialPageSize
 	for d.ctx.Err() == nil {
-		cell, err := d.tryLoad(page)
+		cell, err := d.tryLoad(pageSize)
 		if err == nil {
 			return cell
 		}
-		d.deps.Log.Warn("load workflows", "Page", page, "Error", err)
+		d.deps.Log.Warn("load workflows", "Page", pageSize, "Error", err)
 		if !errors.Is(err, errNotReady) {
-			page = max(page/2, leastPage)
+			pageSize = max(pageSize/2, minPageSize)
 		}
-		d.sleep(loadPause)
+		d.sleep(loadRetryInterval)
 	}
 	return nil
 }
 
 var errNotReady = errors.New("configuration, evacuations or workers not known yet")
 
-func (d *Driver) tryLoad(page int) (*planner.Cell, error) {
+func (d *Driver) tryLoad(pageSize int) (*planner.Cell, error) {
 	workers, known := d.deps.ListWorkers()
 	queues, evacuations := d.deps.Queues(), d.deps.Evacuations()
 	if !known || queues.Version == 0 || evacuations.ReadAt == 0 {
 		return nil, errNotReady
 	}
 	began := d.deps.Clock.Now()
-	rows, err := d.readCell(page)
+	rows, err := d.readCell(pageSize)
 	if err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 	if err := cell.Load(rows.specs, rows.states, now); err != nil {
 		return nil, err
 	}
-	if err := cell.LoadDelegated(rows.guests, now); err != nil {
+	if err := cell.LoadDelegated(rows.delegated, now); err != nil {
 		return nil, err
 	}
 	if err := cell.LoadReferrals(rows.referrals, now); err != nil {
@@ -71,32 +71,32 @@
 
 // cellRows are the rows of a cell by kind.
 type cellRows struct {
-	specs, states, guests, referrals, learnt, bounds []cottonlanding.Row
+	specs, states, delegated, referrals, learnt, bounds []cottonlanding.Row
 }
 
 // readCell reads all rows of the cell. The kinds are read side by side: nothing of the cell changes any more, and a
 // slow table takes long for each call.
-func (d *Driver) readCell(page int) (cellRows, error) {
+func (d *Driver) readCell(pageSize int) (cellRows, error) {
 	var rows cellRows
-	at := d.setup.Partition
+	partition := d.setup.Partition
 	var reads errgroup.Group
-	for prefix, into := range map[cottonlanding.Key]*[]cottonlanding.Row{
-		planner.SpecKey(at, ""):      &rows.specs,
-		planner.StateKey(at, ""):     &rows.states,
-		planner.DelegatedRowsKey(at): &rows.guests,
-		planner.ReferralKey(at, ""):  &rows.referrals,
+	for prefix, dst := range map[cottonlanding.Key]*[]cottonlanding.Row{
+		planner.SpecKey(partition, ""):      &rows.specs,
+		planner.StateKey(partition, ""):     &rows.states,
+		planner.DelegatedRowsKey(partition): &rows.delegated,
+		planner.ReferralKey(partition, ""):  &rows.referrals,
 	} {
 		reads.Go(func() (err error) {
-			*into, err = d.scan(prefix, page)
+			*dst, err = d.scan(prefix, pageSize)
 			return err
 		})
 	}
 	reads.Go(func() (err error) {
-		rows.learnt, err = d.read(planner.LearntKey(at))
+		rows.learnt, err = d.read(planner.LearntKey(partition))
 		return err
 	})
 	reads.Go(func() (err error) {
-		rows.bounds, err = d.read(planner.LeaseBoundsKey(at))
+		rows.bounds, err = d.read(planner.LeaseBoundsKey(partition))
 		return err
 	})
 	return rows, reads.Wait()
@@ -109,12 +109,12 @@
 }
 
 // scan reads all rows of a prefix, some at a time.
-func (d *Driver) scan(prefix cottonlanding.Key, page int) ([]cottonlanding.Row, error) {
+func (d *Driver) scan(prefix cottonlanding.Key, pageSize int) ([]cottonlanding.Row, error) {
 	var out []cottonlanding.Row
 	after := cottonlanding.Key("")
 	for {
 		ctx, cancel := context.WithTimeout(d.ctx, tableTimeout.Duration())
-		rows, err := d.deps.Table.Scan(ctx, prefix, after, page)
+		rows, err := d.deps.Table.Scan(ctx, prefix, after, pageSize)
 		cancel()
 		if err != nil {
 			return nil, err
--- a/internal/workflow/driver/meter.go
+++ b/internal/workflow/driver/meter.go
@@ -7,12 +7,12 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// meterEvery is how often the progress of an owner is logged: often enough to tell
+// statsLogInterval is how often the progress of an owner is logged: often enough to tell
 // an owner that falls behind from workers that don't answer.
-const meterEvery = 2 * cottonlanding.Second
+const statsLogInterval = 2 * cottonlanding.Second
 
-// Progress is how quickly an owner got on since it was last asked.
-type Progress struct {
+// Stats is how quickly an owner got on since it was last asked.
+type Stats struct {
 	Turns int
 	// Decide, Commit and Turn are the longest of each.
 	Decide cottonlanding.Millis
@@ -31,8 +31,8 @@
 }
 
 // Worst returns the longest of each span, and the sums of what is counted.
-func (p Progress) Worst(other Progress) Progress {
-	return Progress{
+func (p Stats) Worst(other Stats) Stats {
+	return Stats{
 		Turns:     p.Turns + other.Turns,
 		Decide:    max(p.Decide, other.Decide),
 		Commit:    max(p.Commit, other.Commit),
@@ -49,11 +49,11 @@
 type meter struct {
 	log *slog.Logger
 
-	mu     sync.Mutex
-	now    Progress
-	last   Progress
-	told   cottonlanding.Millis
-	turned cottonlanding.Millis
+	mu          sync.Mutex
+	current     Stats
+	logged      Stats
+	loggedAt    cottonlanding.Millis
+	lastTurnEnd cottonlanding.Millis
 }
 
 func newMeter(log *slog.Logger) *meter { return &meter{log: log} }
@@ -67,19 +67,19 @@
 func (m *meter) recordTurn(t turnTimes) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.now.Turns++
-	m.now.Decide = max(m.now.Decide, t.decided-t.began)
-	m.now.Commit = max(m.now.Commit, t.ended-t.decided)
-	m.now.Turn = max(m.now.Turn, t.ended-t.began)
-	if m.turned > 0 {
-		m.now.Pause = max(m.now.Pause, t.began-m.turned)
+	m.current.Turns++
+	m.current.Decide = max(m.current.Decide, t.decided-t.began)
+	m.current.Commit = max(m.current.Commit, t.ended-t.decided)
+	m.current.Turn = max(m.current.Turn, t.ended-t.began)
+	if m.lastTurnEnd > 0 {
+		m.current.Pause = max(m.current.Pause, t.began-m.lastTurnEnd)
 	}
-	m.turned = t.ended
-	if t.ended-m.told < meterEvery {
+	m.lastTurnEnd = t.ended
+	if t.ended-m.loggedAt < statsLogInterval {
 		return
 	}
-	m.told, m.last, m.now = t.ended, m.now, Progress{}
-	p := m.last
+	m.loggedAt, m.logged, m.current = t.ended, m.current, Stats{}
+	p := m.logged
 	m.log.Info("progress of the owner", "Turns", p.Turns, "LongestDecide", p.Decide, "LongestCommit", p.Commit,
 		"LongestTurn", p.Turn, "LongestPause", p.Pause, "Orders", p.Orders, "LongestOrderWait", p.OrderWait,
 		"LongestOrder", p.OrderCall, "MostStreams", p.Streams)
@@ -89,21 +89,21 @@
 func (m *meter) recordStreams(streams int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.now.Streams = max(m.now.Streams, streams)
+	m.current.Streams = max(m.current.Streams, streams)
 }
 
 // recordOrder takes in an order that was given out, sent and answered.
 func (m *meter) recordOrder(given, sent, answered cottonlanding.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.now.Orders++
-	m.now.OrderWait = max(m.now.OrderWait, sent-given)
-	m.now.OrderCall = max(m.now.OrderCall, answered-sent)
+	m.current.Orders++
+	m.current.OrderWait = max(m.current.OrderWait, sent-given)
+	m.current.OrderCall = max(m.current.OrderCall, answered-sent)
 }
 
-// progress returns what was logged last.
-func (m *meter) progress() Progress {
+// stats returns what was logged last.
+func (m *meter) stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.last
+	return m.logged
 }
--- a/internal/workflow/driver/orders_test.go
+++ b/internal/workflow/driver/orders_test.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	// decisionCost is how long one placement of bulk work takes in these tests. One
+	// placementCost is how long one placement of bulk work takes in these tests. One
 	// pass places one such workflow and takes a second, as that of an owner whose
 	// processor falls behind.
-	decisionCost  = 2 * time.Millisecond
+	placementCost = 2 * time.Millisecond
 	bulkTasks     = 500
 	bulkWorkflows = 6
 	stoppedTasks  = 6
-	// answerTime is how long a worker takes to answer a stop.
-	answerTime = 5 * time.Millisecond
-	// answersToldWithin is how long it takes, on a busy machine, until the cell knows of
+	// stopAnswerDelay is how long a worker takes to answer a stop.
+	stopAnswerDelay = 5 * time.Millisecond
+	// startAnswersWithin is how long it takes, on a busy machine, until the cell knows of
 	// the starts that the workers have taken.
-	answersToldWithin = 300 * time.Millisecond
+	startAnswersWithin = 300 * time.Millisecond
 	// stopsWithin is how long the stops for one worker may take that answers soon:
 	// a third of a pass.
 	stopsWithin = 300 * time.Millisecond
@@ -48,7 +48,7 @@
 func (s *slowPlacement) Place(task cottonlanding.TaskView, candidates []cottonlanding.WorkerView) int {
 	if strings.HasPrefix(string(task.ID.Job), "bulk") {
 		s.placed.Add(1)
-		time.Sleep(decisionCost)
+		time.Sleep(placementCost)
 	}
 	return s.PlacementPolicy.Place(task, candidates)
 }
@@ -64,7 +64,7 @@
 	s.mu.Lock()
 	s.times = append(s.times, time.Now())
 	s.mu.Unlock()
-	time.Sleep(answerTime)
+	time.Sleep(stopAnswerDelay)
 	return s.RunClient.Stop(ctx, worker, run, epoch)
 }
 
@@ -74,29 +74,29 @@
 	return append([]time.Time(nil), s.times...)
 }
 
-// TestOrdersDoNotWaitForDecisions: the orders to a worker that answers soon follow
+// TestOrdersProceedDuringDecisions: the orders to a worker that answers soon follow
 // each other at once, however long the owner takes to decide meanwhile.
-func TestOrdersDoNotWaitForDecisions(t *testing.T) {
+func TestOrdersProceedDuringDecisions(t *testing.T) {
 	clock := cottonlanding.NewClock()
-	stand := runner.New(clock, func(key cottonlanding.RunKey) runner.Fate { return runner.Fate{Forever: true} })
-	workers := []cottonlanding.WorkerInfo{labelled(stand, 0, "few", stoppedTasks)}
+	fakeWorkers := runner.New(clock, func(key cottonlanding.RunKey) runner.Fate { return runner.Fate{Forever: true} })
+	workers := []cottonlanding.WorkerInfo{addLabelledWorker(fakeWorkers, 0, "few", stoppedTasks)}
 	for number := 1; number <= 4; number++ {
-		workers = append(workers, labelled(stand, number, "many", bulkTasks*bulkWorkflows))
+		workers = append(workers, addLabelledWorker(fakeWorkers, number, "many", bulkTasks*bulkWorkflows))
 	}
-	stops := &stopTimes{RunClient: stand}
+	stops := &stopTimes{RunClient: fakeWorkers}
 	placement, _ := placer.Catalog.Get(placer.Fallback)
 	slow := &slowPlacement{PlacementPolicy: placement}
 	table := keeper.New()
 	d := driver.New(dependencies(t, clock, table, stops, workers),
 		planner.Setup{Partition: "Test", Epoch: 1},
 		planner.Timing{Lease: 60_000, CutOffGrace: 1000, StopTimeout: 5000, Retention: cottonlanding.Minute},
-		everyPlacement(slow))
+		policyWithPlacement(slow))
 	defer d.Close()
 
 	step := cottonlanding.Step{Tasks: stoppedTasks, Lasting: true, Requires: "few", Resources: cottonlanding.Resources{CPU: 1000}}
-	handIn(t, d, "few", step)
-	require.Eventually(t, func() bool { return stand.Lasting() == stoppedTasks }, 10*time.Second, 5*time.Millisecond)
-	time.Sleep(answersToldWithin) // a stop follows the answer to its run's start
+	submitUntilAccepted(t, d, "few", step)
+	require.Eventually(t, func() bool { return fakeWorkers.Lasting() == stoppedTasks }, 10*time.Second, 5*time.Millisecond)
+	time.Sleep(startAnswersWithin) // a stop follows the answer to its run's start
 	step.Tasks, step.Requires = bulkTasks, "many"
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -113,10 +113,10 @@
 	require.Less(t, times[stoppedTasks-1].Sub(times[0]), stopsWithin, "from the first to the last stop for one worker")
 }
 
-// labelled adds a worker with a label that takes a number of tasks of one core.
-func labelled(stand *runner.Runner, number int, label cottonlanding.Label, room int) cottonlanding.WorkerInfo {
+// addLabelledWorker adds a worker with a label that takes a number of tasks of one core.
+func addLabelledWorker(fakeWorkers *runner.Runner, number int, label cottonlanding.Label, room int) cottonlanding.WorkerInfo {
 	id := cottonlanding.WorkerID(fmt.Sprintf("w%d", number))
-	stand.Add(id, 5000)
+	fakeWorkers.Add(id, 5000)
 	return cottonlanding.WorkerInfo{ID: id, Address: cottonlanding.Address(id), Service: "S", State: cottonlanding.Live,
 		Labels: []cottonlanding.Label{label}, Capacity: cottonlanding.Resources{CPU: cottonlanding.Millicores(1000 * room), Memory: cottonlanding.Gigabyte}}
 }
@@ -124,25 +124,25 @@
 func dependencies(t *testing.T, clock cottonlanding.Clock, table cottonlanding.Table, client cottonlanding.RunClient, workers []cottonlanding.WorkerInfo) driver.Dependencies {
 	queues := cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{"Q": {Name: "Q", Service: "S", Attempts: 3}}}
 	return driver.Dependencies{
-		Table:       table,
-		Workers:     client,
-		Clock:       clock,
-		Log:         slog.New(slog.NewTextHandler(io.Discard, nil)),
-		ListedAt:    clock.Now,
-		Evacuations: noEvacuation(clock),
-		ListWorkers: func() ([]cottonlanding.WorkerInfo, bool) { return workers, true },
-		Queues:      func() cottonlanding.Queues { return queues },
-		ValidUntil:  func() cottonlanding.Millis { return clock.Now() + cottonlanding.Minute },
-		Refer:       noReferral,
-		Move:        noReferral,
-		Siblings:    func() []cottonlanding.Partition { return nil },
-		Deliver:     noDelivery,
-		Home:        everyHome,
-		Lost:        func() { t.Error("the ownership was lost") },
+		Table:          table,
+		Workers:        client,
+		Clock:          clock,
+		Log:            slog.New(slog.NewTextHandler(io.Discard, nil)),
+		ListedAt:       clock.Now,
+		Evacuations:    noEvacuations(clock),
+		ListWorkers:    func() ([]cottonlanding.WorkerInfo, bool) { return workers, true },
+		Queues:         func() cottonlanding.Queues { return queues },
+		ValidUntil:     func() cottonlanding.Millis { return clock.Now() + cottonlanding.Minute },
+		ReferralTarget: noReferral,
+		HandOverTarget: noReferral,
+		Siblings:       func() []cottonlanding.Partition { return nil },
+		Deliver:        noDelivery,
+		IsHome:         alwaysHome,
+		OnLost:         func() { t.Error("the ownership was lost") },
 	}
 }
 
-func handIn(t *testing.T, d *driver.Driver, id cottonlanding.WorkflowID, step cottonlanding.Step) {
+func submitUntilAccepted(t *testing.T, d *driver.Driver, id cottonlanding.WorkflowID, step cottonlanding.Step) {
 	t.Helper()
 	workflow := cottonlanding.Workflow{ID: id, Queue: "Q", Steps: []cottonlanding.Step{step}}
 	require.Eventually(t, func() bool {
--- a/internal/workflow/driver/outbox.go
+++ b/internal/workflow/driver/outbox.go
@@ -8,20 +8,20 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// stream is a queue of orders to one worker, each sent once the one before it was
-// answered. Stops have a stream of their own: a start or a change of pace may take
+// streamKey is a queue of orders to one worker, each sent once the one before it was
+// answered. Stops have a streamKey of their own: a start or a change of pace may take
 // as long as a call may, and a stop must not wait for that.
-type stream struct {
+type streamKey struct {
 	worker cottonlanding.WorkerID
 	stops  bool
 }
 
-func streamOf(order planner.Order) stream {
-	return stream{worker: order.Worker.Life.Worker, stops: order.Verb == planner.VerbStop}
+func streamKeyOf(order planner.Order) streamKey {
+	return streamKey{worker: order.Worker.Life.Worker, stops: order.Verb == planner.VerbStop}
 }
 
-// answeredOrder is an order with what became of it, and when.
-type answeredOrder struct {
+// orderResult is an order with what became of it, and when.
+type orderResult struct {
 	order   planner.Order
 	reading cottonlanding.Reading
 	err     error
@@ -32,30 +32,30 @@
 // moments only: orders follow each other also while the owner decides, which holds
 // the cell's lock.
 type outbox struct {
-	// answersDue tells that there are answers.
-	answersDue waker.Waker
+	// resultsDue tells that there are answers.
+	resultsDue waker.Waker
 
-	mu       sync.Mutex
-	streams  map[stream][]planner.Order
-	answered []answeredOrder
+	mu      sync.Mutex
+	streams map[streamKey][]planner.Order
+	results []orderResult
 }
 
 func newOutbox() *outbox {
-	return &outbox{answersDue: waker.New(), streams: make(map[stream][]planner.Order)}
+	return &outbox{resultsDue: waker.New(), streams: make(map[streamKey][]planner.Order)}
 }
 
 // add queues an order, and reports whether nobody sends the orders of its stream yet.
-func (o *outbox) add(order planner.Order) (stream, bool) {
+func (o *outbox) add(order planner.Order) (streamKey, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	at := streamOf(order)
+	at := streamKeyOf(order)
 	queued, running := o.streams[at]
 	o.streams[at] = append(queued, order)
 	return at, !running
 }
 
 // next takes the next order of a stream; false means that the stream has ended.
-func (o *outbox) next(at stream) (planner.Order, bool) {
+func (o *outbox) next(at streamKey) (planner.Order, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	queued := o.streams[at]
@@ -67,20 +67,20 @@
 	return queued[0], true
 }
 
-// answer keeps what became of an order until the cell is told.
-func (o *outbox) answer(a answeredOrder) {
+// recordResult keeps what became of an order until the cell is told.
+func (o *outbox) recordResult(a orderResult) {
 	o.mu.Lock()
-	o.answered = append(o.answered, a)
+	o.results = append(o.results, a)
 	o.mu.Unlock()
-	o.answersDue.Wake()
+	o.resultsDue.Wake()
 }
 
-// answers takes the answers that came.
-func (o *outbox) answers() []answeredOrder {
+// takeResults takes the takeResults that came.
+func (o *outbox) takeResults() []orderResult {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := o.answered
-	o.answered = nil
+	out := o.results
+	o.results = nil
 	return out
 }
 
--- a/internal/workflow/driver/owner_test.go
+++ b/internal/workflow/driver/owner_test.go
@@ -21,8 +21,8 @@
 
 const (
 	partition = cottonlanding.Partition("Test")
-	// patience is how long a test waits for what should come at once.
-	patience = 10 * time.Second
+	// testTimeout is how long a test waits for what should come at once.
+	testTimeout = 10 * time.Second
 )
 
 // owner is one driver with a table and workers of its own.
@@ -36,23 +36,23 @@
 // setup says what a test needs otherwise than usual.
 type setup struct {
 	workers int
-	// room is how many tasks of one core each worker takes.
-	room   int
-	policy cottonlanding.PlacementPolicy
+	// tasksPerWorker is how many tasks of one core each worker takes.
+	tasksPerWorker int
+	policy         cottonlanding.PlacementPolicy
 	// client wraps the workers, table the table.
 	client func(cottonlanding.RunClient) cottonlanding.RunClient
 	table  func(cottonlanding.Table) cottonlanding.Table
 	// clock wraps the clock of the owner and its workers.
 	clock func(cottonlanding.Clock) cottonlanding.Clock
-	// places is how many data centres the workers are dealt over; without it they name none.
-	places int
-	// plainSilence has each worker found silent by itself, apart tasks of a workflow placed
+	// dataCentres is how many data centres the workers are dealt over; without it they name none.
+	dataCentres int
+	// perWorkerSilence has each worker found silent by itself, spreadTasks tasks of a workflow placed
 	// wherever there is room.
-	plainSilence, apart bool
+	perWorkerSilence, spreadTasks bool
 	// siblings are the partitions of other cells.
 	siblings []cottonlanding.Partition
-	// amend may replace what the owner works with.
-	amend func(*driver.Dependencies)
+	// modify may replace what the owner works with.
+	modify func(*driver.Dependencies)
 }
 
 func newOwner(t *testing.T, s setup) *owner {
@@ -67,45 +67,45 @@
 	for number := range s.workers {
 		id := cottonlanding.WorkerID(fmt.Sprintf("w%d", number))
 		o.runner.Add(id, 5000)
-		place := cottonlanding.DataCentre("")
-		if s.places > 0 {
-			place = cottonlanding.DataCentre(fmt.Sprintf("d%d", number%s.places))
+		dataCentre := cottonlanding.DataCentre("")
+		if s.dataCentres > 0 {
+			dataCentre = cottonlanding.DataCentre(fmt.Sprintf("d%d", number%s.dataCentres))
 		}
-		workers = append(workers, cottonlanding.WorkerInfo{ID: id, Address: cottonlanding.Address(id), Service: "S", DataCentre: place,
-			State: cottonlanding.Live, Capacity: cottonlanding.Resources{CPU: 1000 * cottonlanding.Millicores(s.room), Memory: 1 << 50}})
+		workers = append(workers, cottonlanding.WorkerInfo{ID: id, Address: cottonlanding.Address(id), Service: "S", DataCentre: dataCentre,
+			State: cottonlanding.Live, Capacity: cottonlanding.Resources{CPU: 1000 * cottonlanding.Millicores(s.tasksPerWorker), Memory: 1 << 50}})
 	}
 	table := cottonlanding.Table(keeper.New())
 	if s.table != nil {
 		table = s.table(table)
 	}
-	client := cottonlanding.RunClient(&patientWorkers{o.runner})
+	client := cottonlanding.RunClient(&longPollWorkers{o.runner})
 	if s.client != nil {
 		client = s.client(client)
 	}
 	queues := cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{
 		"Q": {Name: "Q", Service: "S", Attempts: 3, Stretch: 2, LatencyTarget: 1000},
 	}}
-	policy := everyPlacement(s.policy)
-	policy.WatchesDataCentres, policy.KeepsInOneDataCentre = !s.plainSilence, !s.apart
+	policy := policyWithPlacement(s.policy)
+	policy.WatchesDataCentres, policy.KeepsInOneDataCentre = !s.perWorkerSilence, !s.spreadTasks
 	deps := driver.Dependencies{
-		Table:       table,
-		Workers:     client,
-		Clock:       o.clock,
-		Log:         slog.New(slog.NewTextHandler(io.Discard, nil)),
-		ListedAt:    o.clock.Now,
-		Evacuations: noEvacuation(o.clock),
-		ListWorkers: func() ([]cottonlanding.WorkerInfo, bool) { return workers, true },
-		Queues:      func() cottonlanding.Queues { return queues },
-		ValidUntil:  func() cottonlanding.Millis { return o.clock.Now() + cottonlanding.Minute },
-		Refer:       noReferral,
-		Move:        noReferral,
-		Siblings:    func() []cottonlanding.Partition { return s.siblings },
-		Deliver:     noDelivery,
-		Home:        everyHome,
-		Lost:        func() { t.Error("the ownership was lost") },
+		Table:          table,
+		Workers:        client,
+		Clock:          o.clock,
+		Log:            slog.New(slog.NewTextHandler(io.Discard, nil)),
+		ListedAt:       o.clock.Now,
+		Evacuations:    noEvacuations(o.clock),
+		ListWorkers:    func() ([]cottonlanding.WorkerInfo, bool) { return workers, true },
+		Queues:         func() cottonlanding.Queues { return queues },
+		ValidUntil:     func() cottonlanding.Millis { return o.clock.Now() + cottonlanding.Minute },
+		ReferralTarget: noReferral,
+		HandOverTarget: noReferral,
+		Siblings:       func() []cottonlanding.Partition { return s.siblings },
+		Deliver:        noDelivery,
+		IsHome:         alwaysHome,
+		OnLost:         func() { t.Error("the ownership was lost") },
 	}
-	if s.amend != nil {
-		s.amend(&deps)
+	if s.modify != nil {
+		s.modify(&deps)
 	}
 	o.driver = driver.New(deps, planner.Setup{
 		Partition: partition,
@@ -122,7 +122,7 @@
 
 // offer hands in a workflow of one step once.
 func (o *owner) offer(id cottonlanding.WorkflowID, step cottonlanding.Step) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	step.Resources = cottonlanding.Resources{CPU: 1000}
 	return o.driver.Submit(ctx, cottonlanding.Workflow{ID: id, Queue: "Q", Steps: []cottonlanding.Step{step}})
@@ -130,7 +130,7 @@
 
 func (o *owner) cancel(id cottonlanding.WorkflowID) {
 	o.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(o.t, o.driver.Cancel(ctx, id))
 }
@@ -139,39 +139,39 @@
 func (o *owner) eventually(what string, holds func() bool) {
 	o.t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
-		require.Less(o.t, time.Since(began), patience, what)
+		require.Less(o.t, time.Since(began), testTimeout, what)
 	}
 }
 
-// everyPlacement returns the usual policies with one that places all kinds of tasks.
-func everyPlacement(placement cottonlanding.PlacementPolicy) planner.Policy {
+// policyWithPlacement returns the usual policies with one that places all kinds of tasks.
+func policyWithPlacement(placement cottonlanding.PlacementPolicy) planner.Policy {
 	policy := selector.Default().Planner
 	policy.ShortPlacement, policy.LastingPlacement, policy.FillingPlacement = placement, placement, placement
 	return policy
 }
 
-func spread() cottonlanding.PlacementPolicy {
+func spreadPlacement() cottonlanding.PlacementPolicy {
 	policy, _ := placer.Catalog.Get(placer.Fallback)
 	return policy
 }
 
-// patientWorkers hold the answer to a look back until a run has ended, as real ones do.
-type patientWorkers struct {
+// longPollWorkers hold the answer to a look back until a run has ended, as real ones do.
+type longPollWorkers struct {
 	*runner.Runner
 }
 
-// lookPause is how often they look for an end meanwhile.
-const lookPause = 20 * time.Millisecond
+// longPollInterval is how often they look for an end meanwhile.
+const longPollInterval = 20 * time.Millisecond
 
-func (p *patientWorkers) Poll(ctx context.Context, worker cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
-	until := time.Now().Add(look.Wait.Duration())
+func (p *longPollWorkers) Poll(ctx context.Context, worker cottonlanding.WorkerRef, poll cottonlanding.Poll) (cottonlanding.RunReport, error) {
+	until := time.Now().Add(poll.Wait.Duration())
 	for {
-		report, err := p.Runner.Poll(ctx, worker, look)
+		report, err := p.Runner.Poll(ctx, worker, poll)
 		if err != nil || len(report.Ended) > 0 || !time.Now().Before(until) {
 			return report, err
 		}
 		select {
-		case <-time.After(lookPause):
+		case <-time.After(longPollInterval):
 		case <-ctx.Done():
 			return cottonlanding.RunReport{}, cottonlanding.ErrAmbiguous
 		}
@@ -179,8 +179,8 @@
 }
 
 // noReferral keeps all workflows where they are handed in.
-// noEvacuation says that none is ordered, as of now.
-func noEvacuation(clock cottonlanding.Clock) func() cottonlanding.Evacuations {
+// noEvacuations says that none is ordered, as of now.
+func noEvacuations(clock cottonlanding.Clock) func() cottonlanding.Evacuations {
 	return func() cottonlanding.Evacuations { return cottonlanding.Evacuations{ReadAt: clock.Now()} }
 }
 
@@ -192,4 +192,4 @@
 	return cottonlanding.ErrUnavailable
 }
 
-func everyHome(cottonlanding.WorkflowID) bool { return true }
+func alwaysHome(cottonlanding.WorkflowID) bool { return true }
--- a/internal/workflow/driver/refresh.go
+++ b/internal/workflow/driver/refresh.go
@@ -10,16 +10,16 @@
 	d.cell.SetQueues(d.deps.Queues())
 	d.cell.SetEvacuations(d.deps.Evacuations(), now)
 	workers, known := d.deps.ListWorkers()
-	if !known || sameList(workers, d.listed) {
+	if !known || sameList(workers, d.lastWorkerList) {
 		return
 	}
-	d.listed = workers
+	d.lastWorkerList = workers
 	d.cell.SetWorkers(workers, now)
 	for _, w := range workers {
-		if d.attended[w.ID] == nil && d.cell.HasWorker(w.ID) {
+		if d.pollers[w.ID] == nil && d.cell.HasWorker(w.ID) {
 			woken := waker.New()
-			d.attended[w.ID] = woken
-			d.work.Go(func() { d.attend(w.ID, woken) })
+			d.pollers[w.ID] = woken
+			d.work.Go(func() { d.pollWorker(w.ID, woken) })
 		}
 	}
 }
--- a/internal/workflow/driver/sender.go
+++ b/internal/workflow/driver/sender.go
@@ -16,7 +16,7 @@
 	defer turns.Stop()
 	for d.ctx.Err() == nil {
 		d.dispatch()
-		d.sleep(spacing)
+		d.sleep(coalescingInterval)
 		select {
 		case <-d.ctx.Done():
 		case <-d.ordersDue:
@@ -25,8 +25,8 @@
 	}
 }
 
-// flushOrders has the orders looked through soon.
-func (d *Driver) flushOrders() { d.ordersDue.Wake() }
+// wakeSender has the orders looked through soon.
+func (d *Driver) wakeSender() { d.ordersDue.Wake() }
 
 // dispatch hands the due orders to one goroutine for each stream.
 func (d *Driver) dispatch() {
@@ -49,14 +49,14 @@
 
 // holdStarts has starts wait while what is known of workers and evacuations is too old.
 func (d *Driver) holdStarts() {
-	known := d.cordon.ages()
-	if d.cell.HoldStarts(known.tooOld()) {
-		d.deps.Log.Warn("starts", "Wait", known.tooOld(), "EvacuationsReadBefore", known.evacuations, "ListReadBefore", known.list)
+	age := d.startValidator.dataAges()
+	if d.cell.HoldStarts(age.stale()) {
+		d.deps.Log.Warn("starts", "Wait", age.stale(), "EvacuationsReadBefore", age.evacuations, "ListReadBefore", age.list)
 	}
 }
 
 // sendAll sends the orders of a stream until there are no more.
-func (d *Driver) sendAll(at stream) {
+func (d *Driver) sendAll(at streamKey) {
 	for {
 		order, found := d.outbox.next(at)
 		if !found {
@@ -66,26 +66,26 @@
 		reading, err := d.send(order)
 		answered := d.deps.Clock.Now()
 		d.meter.recordOrder(order.GivenAt, order.SentAt, answered)
-		d.outbox.answer(answeredOrder{order: order, reading: reading, err: err, at: answered})
+		d.outbox.recordResult(orderResult{order: order, reading: reading, err: err, at: answered})
 	}
 }
 
-// applyAnswers tells the cell what became of orders, all that came at once.
-func (d *Driver) applyAnswers() {
+// applyResults tells the cell what became of orders, all that came at once.
+func (d *Driver) applyResults() {
 	for {
 		select {
 		case <-d.ctx.Done():
 			return
-		case <-d.outbox.answersDue:
+		case <-d.outbox.resultsDue:
 		}
 		d.mu.Lock()
-		for _, a := range d.outbox.answers() {
+		for _, a := range d.outbox.takeResults() {
 			if d.cell != nil {
 				d.cell.OrderAnswered(a.order, a.reading, a.err, a.at)
 			}
 		}
 		d.mu.Unlock()
-		d.flushOrders()
+		d.wakeSender()
 	}
 }
 
@@ -100,7 +100,7 @@
 		return 0, planner.ErrObsoleteStart
 	}
 	if order.Verb == planner.VerbStart {
-		if err := d.cordon.check(order); err != nil {
+		if err := d.startValidator.check(order); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/workflow/driver/siblings.go
+++ b/internal/workflow/driver/siblings.go
@@ -5,31 +5,31 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// siblingsPoll is how often is read what other cells have learnt of images, which they
+// learntReadInterval is how often is read what other cells have learnt of images, which they
 // write down as often.
-const siblingsPoll = 3 * cottonlanding.Second
+const learntReadInterval = 3 * cottonlanding.Second
 
-// followSiblings tells the cell what other cells have learnt, again and again, from when a
+// followLearnt tells the cell what other cells have learnt, again and again, from when a
 // workflow of its own names an image: each cell reads the rows of all others.
-func (d *Driver) followSiblings() {
+func (d *Driver) followLearnt() {
 	for d.ctx.Err() == nil {
-		if d.weighs() {
-			d.shareLearnt(d.readSiblings())
+		if d.usesImages() {
+			d.applyLearnt(d.readLearnt())
 		}
-		d.sleep(siblingsPoll)
+		d.sleep(learntReadInterval)
 	}
 }
 
-// weighs reports whether the cell has to weigh images.
-func (d *Driver) weighs() bool {
+// usesImages reports whether the cell has to weigh images.
+func (d *Driver) usesImages() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cell != nil && d.cell.HasImages()
 }
 
-// readSiblings reads what other cells have learnt. Of a cell whose row can't be read nothing
+// readLearnt reads what other cells have learnt. Of a cell whose row can't be read nothing
 // is known until the next time.
-func (d *Driver) readSiblings() []cottonlanding.Row {
+func (d *Driver) readLearnt() []cottonlanding.Row {
 	var rows []cottonlanding.Row
 	for _, partition := range d.deps.Siblings() {
 		learnt, err := d.read(planner.LearntKey(partition))
@@ -41,7 +41,7 @@
 	return rows
 }
 
-func (d *Driver) shareLearnt(rows []cottonlanding.Row) {
+func (d *Driver) applyLearnt(rows []cottonlanding.Row) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cell == nil || len(rows) == 0 {
--- a/internal/workflow/driver/siblings_test.go
+++ b/internal/workflow/driver/siblings_test.go
@@ -27,15 +27,15 @@
 	return l.Table.Read(ctx, keys...)
 }
 
-// TestOnlyCellsWithImagesReadWhatOthersLearnt: each cell would read the row of each other one.
-func TestOnlyCellsWithImagesReadWhatOthersLearnt(t *testing.T) {
+// TestLearntReadsRequireImages: each cell would read the row of each other one.
+func TestLearntReadsRequireImages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reads atomic.Int64
 		var siblings []cottonlanding.Partition
 		for range 23 {
 			siblings = append(siblings, "Sibling")
 		}
-		o := newOwner(t, setup{workers: 1, room: 2, policy: spread(), siblings: siblings,
+		o := newOwner(t, setup{workers: 1, tasksPerWorker: 2, policy: spreadPlacement(), siblings: siblings,
 			table: func(table cottonlanding.Table) cottonlanding.Table { return learntReads{table, &reads} }})
 		o.submit("plain", cottonlanding.Step{Tasks: 1})
 		time.Sleep(10 * time.Second)
--- a/internal/workflow/driver/silentcell_test.go
+++ b/internal/workflow/driver/unresponsivecell_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	silentCell  cottonlanding.CellNumber = 1
-	healthyCell cottonlanding.CellNumber = 2
+	unresponsiveCell cottonlanding.CellNumber = 1
+	healthyCell      cottonlanding.CellNumber = 2
 )
 
 // alternating returns the silent cell and the healthy one in turn.
@@ -25,34 +25,34 @@
 
 func (a *alternating) next() (cottonlanding.CellNumber, bool) {
 	a.turns++
-	return silentCell + cottonlanding.CellNumber(a.turns%2), true
+	return unresponsiveCell + cottonlanding.CellNumber(a.turns%2), true
 }
 
-// TestSilentCellDelaysNoHandoverToOthers guards against rounds of deliveries that last as long
+// TestUnresponsiveCellDelaysOnlyItsHandOvers guards against rounds of deliveries that last as long
 // as the call to a cell which gives no answer: workflows for all other cells waited for it.
-func TestSilentCellDelaysNoHandoverToOthers(t *testing.T) {
+func TestUnresponsiveCellDelaysOnlyItsHandOvers(t *testing.T) {
 	const workflows = 60
 	synctest.Test(t, func(t *testing.T) {
 		var cells alternating
 		var mu sync.Mutex
-		moved := make(map[cottonlanding.WorkflowID]time.Time)
+		handedOverAt := make(map[cottonlanding.WorkflowID]time.Time)
 		delivered := make(map[cottonlanding.WorkflowID]time.Duration)
-		o := newOwner(t, setup{workers: 1, room: 1, policy: spread(), amend: func(deps *driver.Dependencies) {
-			deps.Move = func(workflow cottonlanding.Workflow, _ planner.Report, _ bool) (cottonlanding.CellNumber, bool) {
+		o := newOwner(t, setup{workers: 1, tasksPerWorker: 1, policy: spreadPlacement(), modify: func(deps *driver.Dependencies) {
+			deps.HandOverTarget = func(workflow cottonlanding.Workflow, _ planner.Report, _ bool) (cottonlanding.CellNumber, bool) {
 				cell, found := cells.next()
 				mu.Lock()
 				defer mu.Unlock()
-				moved[workflow.ID] = time.Now()
+				handedOverAt[workflow.ID] = time.Now()
 				return cell, found
 			}
 			deps.Deliver = func(ctx context.Context, workflow cottonlanding.Workflow, to cottonlanding.CellNumber) error {
-				if to == silentCell {
+				if to == unresponsiveCell {
 					<-ctx.Done()
 					return ctx.Err()
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				delivered[workflow.ID] = time.Since(moved[workflow.ID])
+				delivered[workflow.ID] = time.Since(handedOverAt[workflow.ID])
 				return nil
 			}
 		}})
@@ -72,21 +72,21 @@
 	})
 }
 
-// TestSilentGuestCellDelaysNoQuestionToOthers guards against rounds of questions that last as
+// TestUnresponsiveCellDelaysOnlyItsDelegationRequests guards against rounds of questions that last as
 // long as the call to a guest cell which gives no answer: what others ran for this one was
 // learnt of a second late, and they started nothing meanwhile.
-func TestSilentGuestCellDelaysNoQuestionToOthers(t *testing.T) {
+func TestUnresponsiveCellDelaysOnlyItsDelegationRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var cells alternating
 		var mu sync.Mutex
-		var asked []time.Time
+		var requestedAt []time.Time
 		count := func() int {
 			mu.Lock()
 			defer mu.Unlock()
-			return len(asked)
+			return len(requestedAt)
 		}
-		silent := make(chan struct{})
-		o := newOwner(t, setup{workers: 1, room: 1, policy: spread(), amend: func(deps *driver.Dependencies) {
+		unresponsiveRequested := make(chan struct{})
+		o := newOwner(t, setup{workers: 1, tasksPerWorker: 1, policy: spreadPlacement(), modify: func(deps *driver.Dependencies) {
 			deps.Delegate = func(tasks []planner.DelegableTask) (out []planner.Delegation) {
 				for _, task := range tasks {
 					to, _ := cells.next()
@@ -94,10 +94,10 @@
 				}
 				return out
 			}
-			deps.AskGuests = func(ctx context.Context, to cottonlanding.CellNumber, _ planner.DelegationRequest) (planner.DelegationResponse, error) {
-				if to == silentCell {
+			deps.SendDelegationRequest = func(ctx context.Context, to cottonlanding.CellNumber, _ planner.DelegationRequest) (planner.DelegationResponse, error) {
+				if to == unresponsiveCell {
 					select {
-					case silent <- struct{}{}:
+					case unresponsiveRequested <- struct{}{}:
 					default:
 					}
 					<-ctx.Done()
@@ -105,17 +105,17 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				asked = append(asked, time.Now())
+				requestedAt = append(requestedAt, time.Now())
 				return planner.DelegationResponse{Stamp: planner.DelegationStamp{Epoch: 1}}, nil
 			}
 		}})
 		defer o.driver.Close()
 		o.submit("lasting", cottonlanding.Step{Tasks: 5, Lasting: true})
-		<-silent
+		<-unresponsiveRequested
 		first := count()
 		o.eventually("the healthy cell is asked", func() bool { return count() >= first+20 })
-		for i := max(first, 1); i < len(asked); i++ {
-			require.LessOrEqual(t, asked[i].Sub(asked[i-1]), 500*time.Millisecond, "between two questions")
+		for i := max(first, 1); i < len(requestedAt); i++ {
+			require.LessOrEqual(t, requestedAt[i].Sub(requestedAt[i-1]), 500*time.Millisecond, "between two questions")
 		}
 	})
 }
--- a/internal/workflow/gateway/gauges.go
+++ b/internal/workflow/gateway/gauges.go
@@ -42,7 +42,7 @@
 // progress returns the gauges of how quickly the owned cells got on lately, the slowest
 // of each.
 func (g *Gateway) progress() map[string]cottonlanding.Millis {
-	var worst driver.Progress
+	var worst driver.Stats
 	for _, s := range *g.seats.Load() {
 		if local := s.local(); local != nil {
 			worst = worst.Worst(local.Progress())
