--- a/internal/coordination/holder/ended_test.go
+++ b/internal/coordination/holder/ended_test.go
@@ -43,7 +43,7 @@
 	for cell, version := range versions {
 		for _, watcher := range f.processes[:2] {
 			if version > 0 {
-				watcher.holders[cell].OwnerEnded(version)
+				watcher.holders[cell].MarkOwnerEnded(version)
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 		before := f.processes[owner].holders[cell].View()
 		for _, p := range f.processes {
 			if p != f.processes[owner] {
-				p.holders[cell].OwnerEnded(before.Version)
+				p.holders[cell].MarkOwnerEnded(before.Version)
 			}
 		}
 		for range 100 {
--- a/internal/coordination/holder/fleet_test.go
+++ b/internal/coordination/holder/fleet_test.go
@@ -315,7 +315,7 @@
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
 				for _, p := range idle {
-					heardAt := p.watcher.HeardAt()
+					heardAt := p.watcher.LastContactAt()
 					for _, one := range p.holders {
 						heardAt = max(heardAt, one.View().Read)
 					}
@@ -342,12 +342,12 @@
 		idle.holders[2].Nudge()
 		time.Sleep(100 * time.Millisecond)
 		for _, one := range idle.holders {
-			require.False(t, one.Reading())
+			require.False(t, one.TableReachable())
 		}
 		idle.counted.set(func(t *table) { t.partitioned = false })
 		time.Sleep(3 * time.Second)
 		for _, one := range idle.holders {
-			require.True(t, one.Reading())
+			require.True(t, one.TableReachable())
 		}
 	})
 }
@@ -359,8 +359,8 @@
 		watcher := holder.NewWatcher(store.Watched(clock), clock, discardLog, fleetTiming.SlowCall)
 		told := 0
 		watcher.Listen("P:Watched/x", func() { told++ })
-		watcher.Note(cottonlanding.Row{Key: "P:Watched/x", Version: 9, Value: []byte("new")})
-		watcher.Note(cottonlanding.Row{Key: "P:Watched/x", Version: 8, Value: []byte("old")})
+		watcher.UpdateRow(cottonlanding.Row{Key: "P:Watched/x", Version: 9, Value: []byte("new")})
+		watcher.UpdateRow(cottonlanding.Row{Key: "P:Watched/x", Version: 8, Value: []byte("old")})
 		row, _ := watcher.Row("P:Watched/x")
 		require.Equal(t, "new", string(row.Value))
 		require.Equal(t, 1, told)
--- a/internal/coordination/holder/holder.go
+++ b/internal/coordination/holder/holder.go
@@ -162,9 +162,9 @@
 	return h.view
 }
 
-// Reading reports whether the last call of the table succeeded. Holders that look seldom go by
+// TableReachable reports whether the last call of the table succeeded. Holders that look seldom go by
 // the roll as well.
-func (h *Holder) Reading() bool {
+func (h *Holder) TableReachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	pollsOften := h.validUntil > 0 || h.deps.Cells() == 1
@@ -183,7 +183,7 @@
 func (h *Holder) Slow() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.deps.Cells() > 1 && h.validUntil == 0 && h.lastCallAt < h.deps.Watcher.HeardAt() {
+	if h.deps.Cells() > 1 && h.validUntil == 0 && h.lastCallAt < h.deps.Watcher.LastContactAt() {
 		return h.deps.Watcher.Slow()
 	}
 	return h.lastCallTime >= h.timing.SlowCall
@@ -240,19 +240,19 @@
 	h.duty.Nudge()
 }
 
-// Lose gives up the belief to be the owner, after a write showed another.
-func (h *Holder) Lose() {
+// Invalidate gives up the belief to be the owner, after a write showed another.
+func (h *Holder) Invalidate() {
 	h.mu.Lock()
 	h.validUntil = 0
 	h.mu.Unlock()
 	h.Nudge()
 }
 
-// OwnerEnded takes in that the process of the owner named in a version of the owner row was seen to have ended, so
+// MarkOwnerEnded takes in that the process of the owner named in a version of the owner row was seen to have ended, so
 // that nobody needs to wait until its last beat is old. The owner may be alive all the same, as one
 // whose host refuses connections: a beat that still moves says so, and nothing rests on its death
 // before its last beat is old.
-func (h *Holder) OwnerEnded(version cottonlanding.Version) {
+func (h *Holder) MarkOwnerEnded(version cottonlanding.Version) {
 	h.mu.Lock()
 	known := h.endedVersion == version || h.view.Version != version
 	if !known {
--- a/internal/coordination/holder/holder_test.go
+++ b/internal/coordination/holder/holder_test.go
@@ -321,7 +321,7 @@
 		large.table.set(func(t *table) { t.partitioned = false })
 		requested := <-owner.requested
 		require.Equal(t, cottonlanding.SessionID("large"), requested.ID)
-		require.NoError(t, owner.Yield(context.Background(), requested))
+		require.NoError(t, owner.ReleaseTo(context.Background(), requested))
 		time.Sleep(500 * time.Millisecond)
 		require.Equal(t, []int{0}, owners(clock, members))
 		time.Sleep(10 * time.Second)
--- a/internal/coordination/holder/reader.go
+++ b/internal/coordination/holder/reader.go
@@ -65,7 +65,7 @@
 func (r *Reader) readOwners(ctx context.Context) error {
 	rows, err := r.table.Scan(ctx, r.partition.Key(cottonlanding.WatchedPrefix+rowPrefix), "", maxRows)
 	for _, row := range rows {
-		r.watcher.Note(row)
+		r.watcher.UpdateRow(row)
 	}
 	return err
 }
--- a/internal/coordination/holder/takeover.go
+++ b/internal/coordination/holder/takeover.go
@@ -22,8 +22,8 @@
 	return h.release(ctx, h.View().Owner.Share)
 }
 
-// Yield is Release for a member with more room; this one may own the cell again later.
-func (h *Holder) Yield(ctx context.Context, to Member) error {
+// ReleaseTo is Release for a member with more room; this one may own the cell again later.
+func (h *Holder) ReleaseTo(ctx context.Context, to Member) error {
 	return h.release(ctx, to.Share)
 }
 
--- a/internal/coordination/holder/watcher.go
+++ b/internal/coordination/holder/watcher.go
@@ -119,12 +119,12 @@
 	r.loaded = r.loaded || update.Whole
 	r.mu.Unlock()
 	for _, row := range update.Rows {
-		r.Note(cottonlanding.Row{Key: cottonlanding.Key(row.Key), Version: row.Version, Value: row.Value})
+		r.UpdateRow(cottonlanding.Row{Key: cottonlanding.Key(row.Key), Version: row.Version, Value: row.Value})
 	}
 }
 
-// Note takes in a row that was read. An older one than is known undoes nothing.
-func (r *Watcher) Note(row cottonlanding.Row) {
+// UpdateRow takes in a row that was read. An older one than is known undoes nothing.
+func (r *Watcher) UpdateRow(row cottonlanding.Row) {
 	r.mu.Lock()
 	if row.Version <= r.rows[row.Key].Version {
 		r.mu.Unlock()
@@ -152,8 +152,8 @@
 	return r.rows[key], r.loaded
 }
 
-// HeardAt returns when the table last answered.
-func (r *Watcher) HeardAt() cottonlanding.Millis {
+// LastContactAt returns when the table last answered.
+func (r *Watcher) LastContactAt() cottonlanding.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastContactAt
--- a/internal/stand/runner/runner.go
+++ b/internal/stand/runner/runner.go
@@ -340,7 +340,7 @@
 }
 
 // Look implements cottonlanding.RunClient. It never waits.
-func (r *Runner) Look(_ context.Context, ref cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
+func (r *Runner) Poll(_ context.Context, ref cottonlanding.WorkerRef, look cottonlanding.Poll) (cottonlanding.RunReport, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w, err := r.reach(ref, look.Epoch)
--- a/internal/workflow/driver/calls.go
+++ b/internal/workflow/driver/calls.go
@@ -49,9 +49,9 @@
 	return d.deps.ReferralTarget(workflow, report, usable)
 }
 
-// Keep hands in a workflow that its home has referred to this cell. The errors are as
+// SubmitReferred hands in a workflow that its home has referred to this cell. The errors are as
 // for Submit.
-func (d *Driver) Keep(ctx context.Context, workflow cottonlanding.Workflow) error {
+func (d *Driver) SubmitReferred(ctx context.Context, workflow cottonlanding.Workflow) error {
 	return d.update(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
 		d.accept(cell, workflow, now, done)
 	})
@@ -171,8 +171,8 @@
 	})
 }
 
-// SettleReferral takes in whether the cell that keeps a referred workflow still knows it.
-func (d *Driver) SettleReferral(id cottonlanding.WorkflowID, known bool) {
+// ResolveReferral takes in whether the cell that keeps a referred workflow still knows it.
+func (d *Driver) ResolveReferral(id cottonlanding.WorkflowID, known bool) {
 	err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) {
 		if known {
 			cell.RenewReferral(id, now)
@@ -196,5 +196,5 @@
 	return d.cell.Counts()
 }
 
-// Progress returns how quickly this owner got on lately.
-func (d *Driver) Progress() Stats { return d.meter.stats() }
+// Stats returns how quickly this owner got on lately.
+func (d *Driver) Stats() Stats { return d.meter.stats() }
--- a/internal/workflow/driver/commitlag_test.go
+++ b/internal/workflow/driver/commitlag_test.go
@@ -34,7 +34,7 @@
 		o.submit("lasting", cottonlanding.Step{Tasks: 4, Lasting: true})
 		o.eventually("the lasting tasks run", func() bool { return o.runner.Lasting() == 4 })
 		for number := range 6000 {
-			go o.offer(cottonlanding.WorkflowID(fmt.Sprintf("w%d", number)), cottonlanding.Step{Tasks: 1})
+			go o.submitOnce(cottonlanding.WorkflowID(fmt.Sprintf("w%d", number)), cottonlanding.Step{Tasks: 1})
 			time.Sleep(2 * time.Millisecond)
 		}
 		counts := o.driver.Counts()
--- a/internal/workflow/driver/driver_test.go
+++ b/internal/workflow/driver/driver_test.go
@@ -56,7 +56,7 @@
 	return h.Table.Commit(ctx, transaction)
 }
 
-func (h *blockingTable) hold(unblocked chan struct{}) {
+func (h *blockingTable) blockUntil(unblocked chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.unblocked = unblocked
@@ -100,8 +100,8 @@
 			refuse.Store(true)
 			o.cancel("lasting")
 			unblocked := make(chan struct{})
-			table.hold(unblocked)
-			go o.offer("next", cottonlanding.Step{Tasks: 1}) // its commit is held back
+			table.blockUntil(unblocked)
+			go o.submitOnce("next", cottonlanding.Step{Tasks: 1}) // its commit is held back
 			cancelled := time.Now()
 			o.eventually("the stop arrives", func() bool { return o.runner.Lasting() == 0 })
 			require.Less(t, time.Since(cancelled), 600*time.Millisecond)
@@ -116,7 +116,7 @@
 		policy.spent.Store(0)
 		began := time.Now()
 		for number := range 20 {
-			go o.offer(cottonlanding.WorkflowID(fmt.Sprintf("w%d", number)), cottonlanding.Step{Tasks: 300})
+			go o.submitOnce(cottonlanding.WorkflowID(fmt.Sprintf("w%d", number)), cottonlanding.Step{Tasks: 300})
 			time.Sleep(100 * time.Millisecond)
 		}
 		share := float64(policy.spent.Load()) / float64(time.Since(began))
--- a/internal/workflow/driver/meter.go
+++ b/internal/workflow/driver/meter.go
@@ -30,8 +30,8 @@
 	Streams int
 }
 
-// Worst returns the longest of each span, and the sums of what is counted.
-func (p Stats) Worst(other Stats) Stats {
+// Merge returns the longest of each span, and the sums of what is counted.
+func (p Stats) Merge(other Stats) Stats {
 	return Stats{
 		Turns:     p.Turns + other.Turns,
 		Decide:    max(p.Decide, other.Decide),
--- a/internal/workflow/driver/overload_test.go
+++ b/internal/workflow/driver/overload_test.go
@@ -41,8 +41,8 @@
 	return c.PlacementPolicy.Place(task, candidates)
 }
 
-// charge returns a clock that counts what was spent as well.
-func (c *clockCostPolicy) charge(clock cottonlanding.Clock) cottonlanding.Clock {
+// wrapClock returns a clock that counts what was spent as well.
+func (c *clockCostPolicy) wrapClock(clock cottonlanding.Clock) cottonlanding.Clock {
 	return cottonlanding.ClockOf(func() cottonlanding.Millis {
 		return clock.Now() + cottonlanding.Millis(c.spent.Load())
 	})
@@ -54,14 +54,14 @@
 func TestOverloadedOwnerRejectsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		policy := &clockCostPolicy{PlacementPolicy: spreadPlacement(), cost: 1, threshold: cottonlanding.Second}
-		o := newOwner(t, setup{workers: 40, tasksPerWorker: 100, policy: policy, clock: policy.charge})
+		o := newOwner(t, setup{workers: 40, tasksPerWorker: 100, policy: policy, clock: policy.wrapClock})
 		defer o.driver.Close()
 		concurrent := make(chan error, 1)
 		policy.onThreshold = func() {
 			offers := make(chan struct{})
 			go func() {
 				close(offers)
-				concurrent <- o.offer("meanwhile", cottonlanding.Step{Tasks: 1})
+				concurrent <- o.submitOnce("meanwhile", cottonlanding.Step{Tasks: 1})
 			}()
 			<-offers
 		}
@@ -75,12 +75,12 @@
 		policy.rejectAll.Store(false)
 		require.ErrorIs(t, <-concurrent, cottonlanding.ErrUnavailable, "it comes while the owner decides")
 		offered := time.Now()
-		require.ErrorIs(t, o.offer("late", cottonlanding.Step{Tasks: 1}), cottonlanding.ErrUnavailable, "it comes between two decisions")
+		require.ErrorIs(t, o.submitOnce("late", cottonlanding.Step{Tasks: 1}), cottonlanding.ErrUnavailable, "it comes between two decisions")
 		require.Zero(t, time.Since(offered), "it is refused at once")
-		require.NoError(t, o.offer("w0", cottonlanding.Step{Tasks: tasks}), "it was accepted before")
+		require.NoError(t, o.submitOnce("w0", cottonlanding.Step{Tasks: tasks}), "it was accepted before")
 		o.cancel("w0")
 		o.eventually("the owner has caught up", func() bool {
-			return o.offer("later", cottonlanding.Step{Tasks: 1}) == nil
+			return o.submitOnce("later", cottonlanding.Step{Tasks: 1}) == nil
 		})
 		require.Less(t, o.clock.Now()-acceptedAt, 2*workflows*tasks*policy.cost+overloadTolerance, "decisions take half of the time")
 	})
--- a/internal/workflow/driver/owner_test.go
+++ b/internal/workflow/driver/owner_test.go
@@ -117,11 +117,11 @@
 // submit hands in a workflow of one step, once the owner has loaded its rows.
 func (o *owner) submit(id cottonlanding.WorkflowID, step cottonlanding.Step) {
 	o.t.Helper()
-	o.eventually("the workflow is accepted", func() bool { return o.offer(id, step) == nil })
+	o.eventually("the workflow is accepted", func() bool { return o.submitOnce(id, step) == nil })
 }
 
-// offer hands in a workflow of one step once.
-func (o *owner) offer(id cottonlanding.WorkflowID, step cottonlanding.Step) error {
+// submitOnce hands in a workflow of one step once.
+func (o *owner) submitOnce(id cottonlanding.WorkflowID, step cottonlanding.Step) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	step.Resources = cottonlanding.Resources{CPU: 1000}
--- a/internal/workflow/driver/stale_test.go
+++ b/internal/workflow/driver/stale_test.go
@@ -50,7 +50,7 @@
 		o.submit("short", cottonlanding.Step{Tasks: 1})
 		time.Sleep(100 * time.Millisecond) // it has started, and ends 100 ms later
 		unblocked := make(chan struct{})
-		table.hold(unblocked)
+		table.blockUntil(unblocked)
 		time.Sleep(2 * time.Second)
 		before := polls.sent.Load()
 		time.Sleep(8 * time.Second)
@@ -134,7 +134,7 @@
 	time.Sleep(time.Second)
 	leases.recording.Store(true)
 	for number := range 6 {
-		go o.offer(cottonlanding.WorkflowID(fmt.Sprintf("bulk%d", number)), cottonlanding.Step{Tasks: 1000, Lasting: true})
+		go o.submitOnce(cottonlanding.WorkflowID(fmt.Sprintf("bulk%d", number)), cottonlanding.Step{Tasks: 1000, Lasting: true})
 	}
 	o.eventually("decisions take long", func() bool { return policy.placed.Load() >= 1500 })
 	leases.mu.Lock()
--- a/internal/workflow/gateway/asking.go
+++ b/internal/workflow/gateway/asking.go
@@ -59,7 +59,7 @@
 	doubt.Stop()
 	if err != nil {
 		s.gateway.messenger.Drop(owner.Address, connection)
-		if !s.holder.Reading() {
+		if !s.holder.TableReachable() {
 			s.cutOffUntil.Store(int64(s.gateway.deps.Clock.Now() + cutOffPause))
 		}
 		s.holder.Nudge()
@@ -113,7 +113,7 @@
 	if home == s {
 		return local.Submit(ctx, workflow)
 	}
-	return local.Keep(ctx, workflow)
+	return local.SubmitReferred(ctx, workflow)
 }
 
 func (s *seat) cancel(ctx context.Context, id cottonlanding.WorkflowID) error {
--- a/internal/workflow/gateway/gateway.go
+++ b/internal/workflow/gateway/gateway.go
@@ -234,7 +234,7 @@
 
 // InTouch returns when the table last confirmed who the owners are.
 func (g *Gateway) InTouch() cottonlanding.Millis {
-	latest := g.roll.HeardAt()
+	latest := g.roll.LastContactAt()
 	for _, s := range *g.seats.Load() {
 		latest = max(latest, s.holder.View().Read, s.holder.ValidUntil()-g.settings.Holder.TTL)
 	}
--- a/internal/workflow/gateway/gauges.go
+++ b/internal/workflow/gateway/gauges.go
@@ -45,7 +45,7 @@
 	var worst driver.Stats
 	for _, s := range *g.seats.Load() {
 		if local := s.local(); local != nil {
-			worst = worst.Worst(local.Progress())
+			worst = worst.Merge(local.Stats())
 		}
 	}
 	return map[string]cottonlanding.Millis{
--- a/internal/workflow/gateway/referrals.go
+++ b/internal/workflow/gateway/referrals.go
@@ -24,7 +24,7 @@
 		}
 		for id, cell := range local.OldReferrals(referralsAtOnce) {
 			if state, known := g.stateIn(ctx, cell, id); known {
-				local.SettleReferral(id, state != "")
+				local.ResolveReferral(id, state != "")
 			}
 		}
 		for id, cell := range local.UnconfirmedDelegated(referralsAtOnce) {
--- a/internal/workflow/gateway/seat.go
+++ b/internal/workflow/gateway/seat.go
@@ -79,7 +79,7 @@
 	if layout == nil {
 		return false
 	}
-	place, one := layout.Place(s.cell)
+	place, one := layout.CellDataCentre(s.cell)
 	return one && place != s.gateway.settings.DataCentre
 }
 
@@ -123,7 +123,7 @@
 		SendDelegationRequest: s.askGuests,
 		IsHome:                s.isHome,
 		Siblings:              s.siblings,
-		OnLost:                s.holder.Lose,
+		OnLost:                s.holder.Invalidate,
 	}, setup, s.gateway.settings.Planner, s.gateway.settings.Policy)
 }
 
@@ -192,7 +192,7 @@
 func (s *seat) yield(to holder.Member) {
 	ctx, cancel := context.WithTimeout(context.Background(), yieldWithin.Duration())
 	defer cancel()
-	if err := s.holder.Yield(ctx, to); err != nil {
+	if err := s.holder.ReleaseTo(ctx, to); err != nil {
 		s.gateway.deps.Log.Warn("hand over workflows", "Cell", s.cell, "To", to.ID, "Error", err)
 	}
 	s.holder.Nudge()
--- a/internal/workflow/gateway/vigil.go
+++ b/internal/workflow/gateway/vigil.go
@@ -89,7 +89,7 @@
 			return
 		}
 		if seen == otherProcess || seen == connectionBroken && s.gateway.messenger.Ended(ctx, view.Owner.Address) {
-			s.holder.OwnerEnded(view.Version)
+			s.holder.MarkOwnerEnded(view.Version)
 			return
 		}
 		pauser.Pause(ctx, vigilPause)
--- a/internal/workflow/partitioner/layout.go
+++ b/internal/workflow/partitioner/layout.go
@@ -79,9 +79,9 @@
 	return out
 }
 
-// Place returns the data centre of a cell's racks, and false if they are of several or
+// CellDataCentre returns the data centre of a cell's racks, and false if they are of several or
 // there are none.
-func (l Layout) Place(cell cottonlanding.CellNumber) (cottonlanding.DataCentre, bool) {
+func (l Layout) CellDataCentre(cell cottonlanding.CellNumber) (cottonlanding.DataCentre, bool) {
 	dataCentre, found := "", false
 	for key, at := range l.Racks {
 		if at != cell {
--- a/tableclock.go
+++ b/tableclock.go
@@ -25,7 +25,7 @@
 	return r.ReceivedAt + left + left/tableDriftDivisor
 }
 
-// Error returns by how much the reading may be off at an instant of the reader's clock.
-func (r TableReading) Error(now Millis) Millis {
+// MaxError returns by how much the reading may be off at an instant of the reader's clock.
+func (r TableReading) MaxError(now Millis) Millis {
 	return r.ReceivedAt - r.RequestedAt + (now-r.ReceivedAt)/tableDriftDivisor
 }
