--- a/internal/operators/sharer/sharer.go
+++ b/internal/operators/sharer/sharer.go
@@ -30,8 +30,8 @@
 	writeTimeout = cottonlanding.Second
 )
 
-// Roll tells of the changes of watched rows.
-type Roll interface {
+// Watcher tells of the changes of watched rows.
+type Watcher interface {
 	Row(key cottonlanding.Key) (cottonlanding.Row, bool)
 	Listen(key cottonlanding.Key, listener func())
 }
@@ -41,11 +41,11 @@
 	// Feed is the operators' table itself.
 	Feed cottonlanding.Feed
 	// Table holds the copy in the watched row Key, Roll tells of it.
-	Table cottonlanding.Table
-	Key   cottonlanding.Key
-	Roll  Roll
-	Clock cottonlanding.Clock
-	Log   *slog.Logger
+	Table   cottonlanding.Table
+	Key     cottonlanding.Key
+	Watcher Watcher
+	Clock   cottonlanding.Clock
+	Log     *slog.Logger
 	// Writes reports whether this host writes copies, Waits whether it waits for them.
 	Writes func() bool
 	Waits  func() bool
@@ -89,7 +89,7 @@
 		changed: waker.New(),
 		rows:    make(map[string]cottonlanding.FeedRow),
 	}
-	deps.Roll.Listen(deps.Key, s.came.Wake)
+	deps.Watcher.Listen(deps.Key, s.came.Wake)
 	go func() {
 		for ctx.Err() == nil {
 			select {
@@ -166,7 +166,7 @@
 
 // takeCopy takes in the copy that was last written. One that can't be read changes nothing.
 func (s *Sharer) takeCopy() {
-	row, _ := s.deps.Roll.Row(s.deps.Key)
+	row, _ := s.deps.Watcher.Row(s.deps.Key)
 	if row.Version <= s.newestRow {
 		return
 	}
@@ -222,7 +222,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout.Duration())
 	defer cancel()
-	last, _ := s.deps.Roll.Row(s.deps.Key)
+	last, _ := s.deps.Watcher.Row(s.deps.Key)
 	_, err = s.deps.Table.Commit(ctx, cottonlanding.Transaction{
 		ID:     cottonlanding.TransactionID(uuid.NewString()),
 		Writes: []cottonlanding.Write{{Key: s.deps.Key, Expect: last.Version, Value: packed}},
--- a/internal/operators/sharer/sharer_test.go
+++ b/internal/operators/sharer/sharer_test.go
@@ -160,14 +160,14 @@
 	var feed cottonlanding.Feed = f.operators
 	if shares {
 		feed = sharer.New(ctx, sharer.Dependencies{
-			Feed:   f.operators,
-			Table:  f.table,
-			Key:    copyKey,
-			Roll:   roll,
-			Clock:  f.clock,
-			Log:    log,
-			Writes: func() bool { return number == 0 && f.leads.Load() },
-			Waits:  func() bool { return number > 0 },
+			Feed:    f.operators,
+			Table:   f.table,
+			Key:     copyKey,
+			Watcher: roll,
+			Clock:   f.clock,
+			Log:     log,
+			Writes:  func() bool { return number == 0 && f.leads.Load() },
+			Waits:   func() bool { return number > 0 },
 		})
 	}
 	h := &host{rows: make(map[string]cottonlanding.FeedRow)}
--- a/internal/workflow/driver/poller.go
+++ b/internal/workflow/driver/poller.go
@@ -30,7 +30,7 @@
 		switch {
 		case next.After > 0:
 			d.await(woken, next.After)
-		case next.Look.Wait > 0:
+		case next.Poll.Wait > 0:
 			sentAt := d.deps.Clock.Now()
 			if ends, _ := d.poll(next); ends == 0 {
 				d.await(woken, sentAt+minPollInterval-d.deps.Clock.Now())
@@ -130,10 +130,10 @@
 // poll asks a worker and tells the cell. It returns how many ends the answer lists, and whether there was one. What
 // the answer means holds from when it came: a decision may hold the cell for long after.
 func (d *Driver) poll(next planner.NextPoll) (ends int, answered bool) {
-	ctx, cancel := context.WithTimeout(d.ctx, (next.Look.Wait + callTimeout).Duration())
+	ctx, cancel := context.WithTimeout(d.ctx, (next.Poll.Wait + callTimeout).Duration())
 	defer cancel()
 	sentAt := d.deps.Clock.Now()
-	report, err := d.deps.Workers.Poll(ctx, next.Worker, next.Look)
+	report, err := d.deps.Workers.Poll(ctx, next.Worker, next.Poll)
 	receivedAt := d.deps.Clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/workflow/gateway/gateway.go
+++ b/internal/workflow/gateway/gateway.go
@@ -94,7 +94,7 @@
 	settings  Settings
 	deps      Dependencies
 	messenger *messenger.Messenger
-	roll      *holder.Watcher
+	watcher   *holder.Watcher
 	// seats holds this host's part in each cell that is known; the first is there from
 	// the start.
 	seats atomic.Pointer[[]*seat]
@@ -148,11 +148,11 @@
 	if err != nil {
 		return nil, err
 	}
-	g.roll = holder.NewWatcher(deps.Watched, deps.Clock, deps.Log, settings.Holder.SlowCall)
+	g.watcher = holder.NewWatcher(deps.Watched, deps.Clock, deps.Log, settings.Holder.SlowCall)
 	g.addSeats(1)
 	deps.Lists.ChooseBy(g.listSource)
 	g.layoutDuty = repeater.New(layoutPoll, g.followLayout)
-	g.roll.Listen(layoutKey, g.layoutDuty.Nudge)
+	g.watcher.Listen(layoutKey, g.layoutDuty.Nudge)
 	g.referralsDuty = repeater.New(referralsEvery, g.settleReferrals)
 	return g, nil
 }
@@ -169,7 +169,7 @@
 // reader returns the reader of a partition of owners.
 func (g *Gateway) reader(partition cottonlanding.Partition) *holder.Reader {
 	if g.readers[partition] == nil {
-		g.readers[partition] = holder.NewReader(g.deps.Table, g.deps.Clock, g.roll, partition)
+		g.readers[partition] = holder.NewReader(g.deps.Table, g.deps.Clock, g.watcher, partition)
 	}
 	return g.readers[partition]
 }
@@ -219,8 +219,8 @@
 // Leads reports whether this host owns the first of several cells.
 func (g *Gateway) Leads() bool { return g.cells() > 1 && g.seat(firstCell).mine() }
 
-// Roll returns what this host knows of the watched rows.
-func (g *Gateway) Roll() *holder.Watcher { return g.roll }
+// Watcher returns what this host knows of the watched rows.
+func (g *Gateway) Watcher() *holder.Watcher { return g.watcher }
 
 // cells counts the cells; before the layout is known there is one.
 func (g *Gateway) cells() int { return max(1, len(*g.seats.Load())) }
@@ -234,7 +234,7 @@
 
 // InTouch returns when the table last confirmed who the owners are.
 func (g *Gateway) InTouch() cottonlanding.Millis {
-	latest := g.roll.LastContactAt()
+	latest := g.watcher.LastContactAt()
 	for _, s := range *g.seats.Load() {
 		latest = max(latest, s.holder.View().Read, s.holder.ValidUntil()-g.settings.Holder.TTL)
 	}
@@ -243,7 +243,7 @@
 
 // Slow reports whether the table is slow.
 func (g *Gateway) Slow() bool {
-	if g.roll.Slow() {
+	if g.watcher.Slow() {
 		return true
 	}
 	for _, s := range *g.seats.Load() {
@@ -356,6 +356,6 @@
 	for _, s := range *g.seats.Load() {
 		s.close()
 	}
-	g.roll.Close()
+	g.watcher.Close()
 	g.messenger.Close(ctx)
 }
--- a/internal/workflow/gateway/layout.go
+++ b/internal/workflow/gateway/layout.go
@@ -51,7 +51,7 @@
 
 // followLayout takes in the newest layout, and writes it if this host owns the first cell.
 func (g *Gateway) followLayout(ctx context.Context) {
-	row, known := g.roll.Row(layoutKey)
+	row, known := g.watcher.Row(layoutKey)
 	if !known {
 		return
 	}
--- a/internal/workflow/gateway/seat.go
+++ b/internal/workflow/gateway/seat.go
@@ -49,7 +49,7 @@
 	ready := make(chan struct{})
 	s.holder = holder.New(holder.Dependencies{
 		Table:   g.deps.Table,
-		Watcher: g.roll,
+		Watcher: g.watcher,
 		Reader:  g.reader(ownersPartition(cell, cells)),
 		Clock:   g.deps.Clock,
 		Log:     g.deps.Log,
--- a/internal/workflow/planner/doublestart_test.go
+++ b/internal/workflow/planner/doublestart_test.go
@@ -101,11 +101,11 @@
 	if !found || next.After > 0 {
 		return
 	}
-	report, err := s.w.runner.Poll(context.Background(), next.Worker, next.Look)
+	report, err := s.w.runner.Poll(context.Background(), next.Worker, next.Poll)
 	if err == nil {
 		s.recordListed(id, report)
-		s.recordForgotten(id, next.Look.Seen)
-		s.recordLease(id, next.Look.LeaseUntil)
+		s.recordForgotten(id, next.Poll.Seen)
+		s.recordLease(id, next.Poll.LeaseUntil)
 	}
 	if err == nil && !answered {
 		err = cottonlanding.ErrAmbiguous
--- a/internal/workflow/planner/faults_test.go
+++ b/internal/workflow/planner/faults_test.go
@@ -222,7 +222,7 @@
 		pollWorkers := func() {
 			for _, worker := range w.workers {
 				next, _ := w.cell.NextPoll(worker.ID, w.now-pollTime)
-				report, err := w.runner.Poll(context.Background(), next.Worker, next.Look)
+				report, err := w.runner.Poll(context.Background(), next.Worker, next.Poll)
 				require.NoError(t, err)
 				w.cell.PollAnswered(next, report, w.now-pollTime, w.now)
 			}
--- a/internal/workflow/planner/lastingwaits_test.go
+++ b/internal/workflow/planner/lastingwaits_test.go
@@ -236,7 +236,7 @@
 	w.runner.Crash(silent)
 	crashed := w.now
 	unanswered, _ := w.cell.NextPoll(silent, w.now)
-	require.Positive(t, unanswered.Look.LeaseUntil)
+	require.Positive(t, unanswered.Poll.LeaseUntil)
 	for number := 0; w.now-crashed < pollFailsAfter; number++ {
 		step := short(100)
 		step.Requires = "Silent"
--- a/internal/workflow/planner/learnt.go
+++ b/internal/workflow/planner/learnt.go
@@ -37,9 +37,9 @@
 // pairRow is the weight of a filling image for a serving one, with its standard error (Doubt). Its keys are short as a
 // deployment has hundreds of pairs.
 type pairRow struct {
-	Image  cottonlanding.Image `json:"I"`
-	Weight float64             `json:"W"`
-	Doubt  float64             `json:"D"`
+	Image         cottonlanding.Image `json:"I"`
+	Weight        float64             `json:"W"`
+	StandardError float64             `json:"D"`
 }
 
 // LearntKey returns the key of the row that holds what was learnt of images.
@@ -72,7 +72,7 @@
 		for _, pair := range serving.Pairs {
 			known.addImage(pair.Image)
 			at := known.index[pair.Image]
-			doubt := max(pair.Doubt, minInheritedStandardError)
+			doubt := max(pair.StandardError, minInheritedStandardError)
 			known.weights[at], known.doubt[at][at] = pair.Weight, doubt*doubt
 		}
 		p.weights[serving.Image] = known
--- a/internal/workflow/planner/life_test.go
+++ b/internal/workflow/planner/life_test.go
@@ -193,7 +193,7 @@
 	w.relist()
 	next, _ := w.cell.NextPoll("w1", w.now)
 	sentAt := w.now
-	report, err := w.runner.Poll(context.Background(), next.Worker, next.Look)
+	report, err := w.runner.Poll(context.Background(), next.Worker, next.Poll)
 	require.NoError(t, err)
 	require.Empty(t, report.Running)
 	w.now += 5
--- a/internal/workflow/planner/poll.go
+++ b/internal/workflow/planner/poll.go
@@ -44,7 +44,7 @@
 // NextPoll describes the next poll of a worker.
 type NextPoll struct {
 	Worker cottonlanding.WorkerRef
-	Look   cottonlanding.Poll
+	Poll   cottonlanding.Poll
 	// After is how long to wait before polling, unless something changes earlier.
 	After cottonlanding.Millis
 }
@@ -65,26 +65,26 @@
 		next.After = w.uncommittedSince + uncommittedEndsTimeout - now
 		return next, true
 	}
-	next.Look = cottonlanding.Poll{Epoch: c.setup.Epoch}
+	next.Poll = cottonlanding.Poll{Epoch: c.setup.Epoch}
 	if w.lifeUnconfirmed || w.pollFailed {
 		// This poll carries neither acknowledged ends nor a lease: another life would forget its own ends by these
 		// numbers, and measure the lease by its own clock.
-		next.Look.Wait = unconfirmedPollWait
+		next.Poll.Wait = unconfirmedPollWait
 		return next, true
 	}
 	if w.committedEnd > w.acknowledgedEnd && !w.orderUnanswered {
-		next.Look.Seen = w.committedEnd
+		next.Poll.Seen = w.committedEnd
 	}
 	if w.runs.size() > 0 {
-		next.Look.LeaseUntil = c.leaseUntil(w, now)
+		next.Poll.LeaseUntil = c.leaseUntil(w, now)
 	}
 	if w.reading > 0 && !uncommitted {
-		next.Look.Wait = idlePollWait
+		next.Poll.Wait = idlePollWait
 		switch {
 		case w.overTarget:
-			next.Look.Wait = overTargetPollWait
+			next.Poll.Wait = overTargetPollWait
 		case w.runs.size() > 0:
-			next.Look.Wait = busyPollWait
+			next.Poll.Wait = busyPollWait
 		}
 	}
 	return next, true
@@ -111,7 +111,7 @@
 		c.recordContact(w)
 	}
 	if w == polled {
-		w.acknowledgedEnd = max(w.acknowledgedEnd, poll.Look.Seen)
+		w.acknowledgedEnd = max(w.acknowledgedEnd, poll.Poll.Seen)
 	}
 	c.resolveOnAnswer(w, now)
 	w.answeredUnlisted = !w.listed
--- a/internal/workflow/planner/rowsimulation_test.go
+++ b/internal/workflow/planner/rowsimulation_test.go
@@ -144,7 +144,7 @@
 			p.ends[worker.ID] = append(p.ends[worker.ID], end)
 		}
 		delete(p.runs, worker.ID)
-		p.seen[worker.ID] = max(p.seen[worker.ID], next.Look.Seen)
+		p.seen[worker.ID] = max(p.seen[worker.ID], next.Poll.Seen)
 		ended := p.ends[worker.ID][min(p.seen[worker.ID], uint64(len(p.ends[worker.ID]))):] // Seen may be of the previous life
 		report.Ended = ended[:min(len(ended), 500)]
 		p.cell.PollAnswered(next, report, p.now, p.now)
--- a/internal/workflow/planner/sharedlearnt.go
+++ b/internal/workflow/planner/sharedlearnt.go
@@ -50,7 +50,7 @@
 			f[serving.Image] = make(map[cottonlanding.Image]finding)
 		}
 		for _, pair := range serving.Pairs {
-			one := findingOf(cottonlanding.PairView{Weight: pair.Weight, StandardError: max(pair.Doubt, minInheritedStandardError)})
+			one := findingOf(cottonlanding.PairView{Weight: pair.Weight, StandardError: max(pair.StandardError, minInheritedStandardError)})
 			sum := f[serving.Image][pair.Image]
 			f[serving.Image][pair.Image] = finding{sum.precision + one.precision, sum.moment + one.moment}
 		}
--- a/internal/workflow/planner/simulatedcell_test.go
+++ b/internal/workflow/planner/simulatedcell_test.go
@@ -288,11 +288,11 @@
 		if !found || next.After > 0 {
 			return
 		}
-		if next.Look.Wait == 0 {
+		if next.Poll.Wait == 0 {
 			p.cell.PollSent(id, p.now)
 		}
-		poll = sentPoll{next: next, sentAt: p.now, until: p.now + next.Look.Wait}
-		_, poll.failure = p.runner.Poll(context.Background(), next.Worker, next.Look)
+		poll = sentPoll{next: next, sentAt: p.now, until: p.now + next.Poll.Wait}
+		_, poll.failure = p.runner.Poll(context.Background(), next.Worker, next.Poll)
 		p.polls[id] = poll
 	}
 	p.answerPoll(id, poll)
@@ -301,7 +301,7 @@
 // answerPoll has the worker answer a poll if a run has ended there, or the wait of the poll is over.
 func (p *simulatedCell) answerPoll(id cottonlanding.WorkerID, poll sentPoll) {
 	if poll.failure == nil {
-		asks := cottonlanding.Poll{Epoch: poll.next.Look.Epoch}
+		asks := cottonlanding.Poll{Epoch: poll.next.Poll.Epoch}
 		var report cottonlanding.RunReport
 		if report, poll.failure = p.runner.Poll(context.Background(), poll.next.Worker, asks); poll.failure == nil {
 			if len(report.Ended) == 0 && p.now < poll.until {
--- a/internal/workflow/planner/staleentry_test.go
+++ b/internal/workflow/planner/staleentry_test.go
@@ -72,7 +72,7 @@
 	w.submit("slow", "Urgent", quick(4))
 	w.commit()
 	next, _ := w.cell.NextPoll("w1", w.now)
-	report, err := w.runner.Poll(context.Background(), next.Worker, next.Look)
+	report, err := w.runner.Poll(context.Background(), next.Worker, next.Poll)
 	require.NoError(t, err)
 	orders := w.cell.Orders(w.now)
 	require.NotEmpty(t, orders)
@@ -98,17 +98,17 @@
 	w.submit("slow", "Urgent", quickOn("w1", 1))
 	w.play(cottonlanding.Second)
 	next, _ := w.cell.NextPoll("w1", w.now)
-	require.Positive(t, next.Look.LeaseUntil)
+	require.Positive(t, next.Poll.LeaseUntil)
 	w.cell.PollFailed(next, cottonlanding.ErrAmbiguous, w.now)
 	w.now += cottonlanding.Second
 	next, _ = w.cell.NextPoll("w1", w.now)
-	require.Zero(t, next.Look.Seen)
-	require.Zero(t, next.Look.LeaseUntil)
-	report, err := w.runner.Poll(context.Background(), next.Worker, next.Look)
+	require.Zero(t, next.Poll.Seen)
+	require.Zero(t, next.Poll.LeaseUntil)
+	report, err := w.runner.Poll(context.Background(), next.Worker, next.Poll)
 	require.NoError(t, err)
 	w.cell.PollAnswered(next, report, w.now, w.now)
 	next, _ = w.cell.NextPoll("w1", w.now)
-	require.Positive(t, next.Look.LeaseUntil)
+	require.Positive(t, next.Poll.LeaseUntil)
 }
 
 // TestEndIsAcknowledgedOnce: once a worker was told which ends it may forget, the number isn't sent again. A life
@@ -120,8 +120,8 @@
 	for range 60 {
 		w.decide(turnSpan)
 		next, _ := w.cell.NextPoll("w1", w.now)
-		if next.Look.Seen > 0 {
-			acknowledged = append(acknowledged, next.Look.Seen)
+		if next.Poll.Seen > 0 {
+			acknowledged = append(acknowledged, next.Poll.Seen)
 		}
 		w.pollAll()
 	}
@@ -142,14 +142,14 @@
 		w.decide(turnSpan)
 	}
 	next, _ := w.cell.NextPoll("w1", w.now)
-	require.Positive(t, next.Look.LeaseUntil, "the life must stay confirmed while its clock goes on")
+	require.Positive(t, next.Poll.LeaseUntil, "the life must stay confirmed while its clock goes on")
 	w.poll("w1", true) // lists the end of the short one
 	w.commit()
 	w.restartWorker(0)
 	w.submit("after", "Urgent", quickOn("w1", 1))
 	w.decide(turnSpan)
 	next, _ = w.cell.NextPoll("w1", w.now)
-	require.Zero(t, next.Look.Seen)
+	require.Zero(t, next.Poll.Seen)
 	w.play(2 * cottonlanding.Second)
 	w.requireState("after", cottonlanding.WorkflowSucceeded)
 	require.Empty(t, w.runner.Violations())
--- a/internal/workflow/planner/successiveowners_test.go
+++ b/internal/workflow/planner/successiveowners_test.go
@@ -151,7 +151,7 @@
 			return
 		}
 		if next, found := firstCell.NextPoll("w1", w.now); found && next.After == 0 {
-			if report, err := w.runner.Poll(context.Background(), next.Worker, next.Look); err == nil {
+			if report, err := w.runner.Poll(context.Background(), next.Worker, next.Poll); err == nil {
 				firstCell.PollAnswered(next, report, w.now, w.now)
 			}
 		}
--- a/internal/workflow/planner/successor_test.go
+++ b/internal/workflow/planner/successor_test.go
@@ -97,7 +97,7 @@
 	require.True(t, found)
 	require.Zero(t, next.After)
 	asked := w.now
-	report, err := w.runner.Poll(context.Background(), next.Worker, next.Look) // answered, and in flight until below
+	report, err := w.runner.Poll(context.Background(), next.Worker, next.Poll) // answered, and in flight until below
 	require.NoError(t, err)
 	w.runner.Crash(old.ID)
 	w.addLife(old)
--- a/internal/workflow/planner/world_test.go
+++ b/internal/workflow/planner/world_test.go
@@ -276,7 +276,7 @@
 	if !found || next.After > 0 {
 		return
 	}
-	report, err := w.runner.Poll(context.Background(), next.Worker, next.Look)
+	report, err := w.runner.Poll(context.Background(), next.Worker, next.Poll)
 	if err == nil && !answered {
 		err = cottonlanding.ErrAmbiguous
 	}
