--- a/internal/workflow/gateway/cells_test.go
+++ b/internal/workflow/gateway/cells_test.go
@@ -26,8 +26,8 @@
 	return sum
 }
 
-// settled waits until each cell has an owner and each host knows the cells.
-func (d *deployment) settled() {
+// awaitOwners waits until each cell has an owner and each host knows the cells.
+func (d *deployment) awaitOwners() {
 	d.t.Helper()
 	require.Eventually(d.t, func() bool {
 		for _, host := range d.hosts {
@@ -44,16 +44,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	d.hosts[host].Close(ctx)
-	d.lives++
-	d.hosts[host] = d.host(100*d.lives + host)
+	d.restarts++
+	d.hosts[host] = d.host(100*d.restarts + host)
 }
 
-// TestCellsAreShared checks that no host owns all cells, that workflows are taken, done and
+// TestCellsSpreadOverHosts checks that no host owns all cells, that workflows are taken, done and
 // shown at every host whatever cell they belong to, and that what waits is counted over
 // all cells.
-func TestCellsAreShared(t *testing.T) {
+func TestCellsSpreadOverHosts(t *testing.T) {
 	d := deployCells(t, cells)
-	d.settled()
+	d.awaitOwners()
 	for at, host := range d.hosts {
 		require.Less(t, host.Owned(), cells, "host %d owns all", at)
 	}
@@ -61,12 +61,12 @@
 		d.submit(number%3, workflow(cottonlanding.WorkflowID(fmt.Sprintf("w%d", number))))
 	}
 	for number := range 24 {
-		d.succeeds((number+1)%3, cottonlanding.WorkflowID(fmt.Sprintf("w%d", number)))
+		d.requireSuccess((number+1)%3, cottonlanding.WorkflowID(fmt.Sprintf("w%d", number)))
 	}
 	require.Equal(t, 6*24, d.runner.Starts(), "each task runs once")
 
-	const hopeless = 20
-	for number := range hopeless {
+	const unplaceable = 20
+	for number := range unplaceable {
 		w := workflow(cottonlanding.WorkflowID(fmt.Sprintf("wide%d", number)))
 		w.Steps[0].Resources.CPU = 9000 // more than any worker has
 		d.submit(number%3, w)
@@ -74,16 +74,16 @@
 	for _, host := range d.hosts {
 		waiting, err := host.Waiting(context.Background(), "Q")
 		require.NoError(t, err)
-		require.Equal(t, hopeless, waiting)
+		require.Equal(t, unplaceable, waiting)
 	}
 }
 
-// TestFullCellRefers checks that workflows go to cells with room when their home is full,
+// TestFullCellRefersWorkflows checks that workflows go to cells with room when their home is full,
 // and that each is found again by its id, at any host, also while its home has no owner
 // that could be asked.
-func TestFullCellRefers(t *testing.T) {
+func TestFullCellRefersWorkflows(t *testing.T) {
 	d := deployCells(t, cells)
-	d.settled()
+	d.awaitOwners()
 	const lasting = 40 // of three tasks; each cell has room for 32 of them
 	for number := range lasting {
 		w := workflow(cottonlanding.WorkflowID(fmt.Sprintf("lasting%d", number)))
@@ -110,7 +110,7 @@
 		}
 	}
 	for number := range lasting {
-		d.keptByOne(cottonlanding.WorkflowID(fmt.Sprintf("lasting%d", number)))
+		d.requireSingleHolder(cottonlanding.WorkflowID(fmt.Sprintf("lasting%d", number)))
 	}
 	d.kill(0)
 	for number := range lasting {
@@ -133,24 +133,24 @@
 	}
 }
 
-// keptByOne checks that a workflow was accepted once, and once more only if its home has handed it
+// requireSingleHolder checks that a workflow was accepted once, and once more only if its home has handed it
 // over in between: while that is under way, no cell keeps it.
-func (d *deployment) keptByOne(id cottonlanding.WorkflowID) {
+func (d *deployment) requireSingleHolder(id cottonlanding.WorkflowID) {
 	d.t.Helper()
-	require.Eventually(d.t, func() bool { return d.ledger.account(id).kept }, 10*time.Second, 10*time.Millisecond, "workflow %s is kept", id)
-	require.Empty(d.t, d.ledger.broken())
-	keepers := d.ledger.account(id).keepers
-	require.LessOrEqual(d.t, len(keepers), 2, "workflow %s moves once: %v", id, keepers)
-	require.Len(d.t, slices.Compact(keepers), len(keepers), "workflow %s goes to another cell: %v", id, keepers)
+	require.Eventually(d.t, func() bool { return d.recorder.history(id).held }, 10*time.Second, 10*time.Millisecond, "workflow %s is kept", id)
+	require.Empty(d.t, d.recorder.inconsistencies())
+	holders := d.recorder.history(id).holders
+	require.LessOrEqual(d.t, len(holders), 2, "workflow %s moves once: %v", id, holders)
+	require.Len(d.t, slices.Compact(holders), len(holders), "workflow %s goes to another cell: %v", id, holders)
 }
 
-// TestKillsOfOwners kills hosts one after another, two at once and all at once, while
+// TestOwnersKilledDuringSubmits kills hosts one after another, two at once and all at once, while
 // workflows are handed in, each again until it is taken. No worker runs a task twice, and
 // all that was accepted is done.
-func TestKillsOfOwners(t *testing.T) {
+func TestOwnersKilledDuringSubmits(t *testing.T) {
 	random := rand.New(rand.NewSource(20261202))
 	d := deployCells(t, cells)
-	d.settled()
+	d.awaitOwners()
 	var accepted []cottonlanding.WorkflowID
 	for round, kills := range [][]int{{0}, {1}, {2}, {0, 1}, {0, 1, 2}} {
 		for number := range 8 {
@@ -165,7 +165,7 @@
 		}
 	}
 	for _, id := range accepted {
-		d.succeeds(random.Intn(3), id)
+		d.requireSuccess(random.Intn(3), id)
 	}
 }
 
@@ -173,7 +173,7 @@
 // force, and is replaced by nobody.
 func TestUnreadableLayout(t *testing.T) {
 	d := deployCells(t, cells)
-	d.settled()
+	d.awaitOwners()
 	rows, err := d.table.Read(context.Background(), "Cells:Watched/Layout")
 	require.NoError(t, err)
 	require.Len(t, rows, 1)
@@ -184,7 +184,7 @@
 	for number := range 8 {
 		id := cottonlanding.WorkflowID(fmt.Sprintf("w%d", number))
 		d.submit(number%3, workflow(id))
-		d.succeeds(number%3, id)
+		d.requireSuccess(number%3, id)
 	}
 	now, err := d.table.Read(context.Background(), "Cells:Watched/Layout")
 	require.NoError(t, err)
--- a/internal/workflow/gateway/export_test.go
+++ b/internal/workflow/gateway/export_test.go
@@ -9,5 +9,5 @@
 	AnswerFromWire  = answerFromWire
 )
 
-// Obstacles lists why a cell can't run a task.
-var Obstacles = []any{noObstacle, unknownRoom, returnedLately, full, noLargeWorker}
+// Rejections lists why a cell can't run a task.
+var Rejections = []any{notRejected, unknownCapacity, returnedByCell, full, workersTooSmall}
--- a/internal/workflow/gateway/gateway.go
+++ b/internal/workflow/gateway/gateway.go
@@ -95,17 +95,17 @@
 	deps      Dependencies
 	messenger *messenger.Messenger
 	watcher   *holder.Watcher
-	// seats holds this host's part in each cell that is known; the first is there from
+	// participants holds this host's part in each cell that is known; the first is there from
 	// the start.
-	seats atomic.Pointer[[]*seat]
+	participants atomic.Pointer[[]*participant]
 	// layout is nil before it is known.
 	layout     atomic.Pointer[partitioner.Layout]
-	layoutDuty *repeater.Repeater
-	// layoutAt is when the layout came to be known, ready that calls are answered since.
-	layoutAt atomic.Int64
-	ready    atomic.Bool
-	// referralsDuty settles what became of referred workflows.
-	referralsDuty *repeater.Repeater
+	layoutLoop *repeater.Repeater
+	// layoutKnownAt is when the layout came to be known, ready that calls are answered since.
+	layoutKnownAt atomic.Int64
+	ready         atomic.Bool
+	// referralsLoop settles what became of referred workflows.
+	referralsLoop *repeater.Repeater
 
 	// The fields below belong to the layout's duty.
 	layoutVersion cottonlanding.Version
@@ -115,11 +115,11 @@
 	refusedVersion cottonlanding.Version
 	settling       settling
 
-	// life ends with the host's part.
-	life    context.Context
-	endLife context.CancelFunc
-	// vigilsMu guards the watches of all cells.
-	vigilsMu sync.Mutex
+	// lifetime ends with the host's part.
+	lifetime    context.Context
+	endLifetime context.CancelFunc
+	// watchesMu guards the watches of all cells.
+	watchesMu sync.Mutex
 
 	mu     sync.Mutex
 	closed bool
@@ -132,9 +132,9 @@
 		deps:     deps,
 		readers:  make(map[cottonlanding.Partition]*holder.Reader),
 	}
-	g.life, g.endLife = context.WithCancel(context.Background())
-	g.seats.Store(&[]*seat{})
-	if err := CheckSpans(settings.Holder, settings.Planner.Lease); err != nil {
+	g.lifetime, g.endLifetime = context.WithCancel(context.Background())
+	g.participants.Store(&[]*participant{})
+	if err := CheckTakeOverTime(settings.Holder, settings.Planner.Lease); err != nil {
 		deps.Log.Warn("spans do not fit", "Error", err)
 	}
 	if err := driver.CheckDown(settings.Planner); err != nil {
@@ -149,21 +149,21 @@
 		return nil, err
 	}
 	g.watcher = holder.NewWatcher(deps.Watched, deps.Clock, deps.Log, settings.Holder.SlowCall)
-	g.addSeats(1)
+	g.addParticipants(1)
 	deps.Lists.ChooseBy(g.listSource)
-	g.layoutDuty = repeater.New(layoutPoll, g.followLayout)
-	g.watcher.Listen(layoutKey, g.layoutDuty.Nudge)
-	g.referralsDuty = repeater.New(referralsEvery, g.settleReferrals)
+	g.layoutLoop = repeater.New(layoutInterval, g.followLayout)
+	g.watcher.Listen(layoutKey, g.layoutLoop.Nudge)
+	g.referralsLoop = repeater.New(referralsInterval, g.resolveReferrals)
 	return g, nil
 }
 
-// addSeats takes part in cells until there are as many as count.
-func (g *Gateway) addSeats(count int) {
-	next := slices.Clone(*g.seats.Load())
+// addParticipants takes part in cells until there are as many as count.
+func (g *Gateway) addParticipants(count int) {
+	next := slices.Clone(*g.participants.Load())
 	for number := len(next); number < count; number++ {
-		next = append(next, newSeat(g, cottonlanding.CellNumber(number), count))
+		next = append(next, newParticipant(g, cottonlanding.CellNumber(number), count))
 	}
-	g.seats.Store(&next)
+	g.participants.Store(&next)
 }
 
 // reader returns the reader of a partition of owners.
@@ -174,28 +174,28 @@
 	return g.readers[partition]
 }
 
-// seat returns this host's part in a cell, or nil if the cell isn't known here.
-func (g *Gateway) seat(cell cottonlanding.CellNumber) *seat {
-	seats := *g.seats.Load()
-	if cell < 0 || int(cell) >= len(seats) {
+// participant returns this host's part in a cell, or nil if the cell isn't known here.
+func (g *Gateway) participant(cell cottonlanding.CellNumber) *participant {
+	participants := *g.participants.Load()
+	if cell < 0 || int(cell) >= len(participants) {
 		return nil
 	}
-	return seats[cell]
+	return participants[cell]
 }
 
 // home returns this host's part in the cell that knows of a workflow.
-func (g *Gateway) home(id cottonlanding.WorkflowID) (*seat, error) {
+func (g *Gateway) home(id cottonlanding.WorkflowID) (*participant, error) {
 	if !g.Ready() {
 		return nil, fmt.Errorf("the cells are not known yet: %w", cottonlanding.ErrUnavailable)
 	}
-	return g.seat(g.layout.Load().Home(id)), nil
+	return g.participant(g.layout.Load().Home(id)), nil
 }
 
 // Owned counts the cells that this host owns.
 func (g *Gateway) Owned() int {
 	count := 0
-	for _, s := range *g.seats.Load() {
-		if s.mine() {
+	for _, p := range *g.participants.Load() {
+		if p.isOwner() {
 			count++
 		}
 	}
@@ -205,8 +205,8 @@
 // ownedBy counts the cells that a host owns, as far as is known here.
 func (g *Gateway) ownedBy(owner cottonlanding.SessionID) int {
 	count := 0
-	for _, s := range *g.seats.Load() {
-		if s.holder.View().Owner.ID == owner {
+	for _, p := range *g.participants.Load() {
+		if p.holder.View().Owner.ID == owner {
 			count++
 		}
 	}
@@ -216,27 +216,27 @@
 // Idle reports whether this host owns none of several cells.
 func (g *Gateway) Idle() bool { return g.cells() > 1 && g.Owned() == 0 }
 
-// Leads reports whether this host owns the first of several cells.
-func (g *Gateway) Leads() bool { return g.cells() > 1 && g.seat(firstCell).mine() }
+// OwnsFirstCell reports whether this host owns the first of several cells.
+func (g *Gateway) OwnsFirstCell() bool { return g.cells() > 1 && g.participant(firstCell).isOwner() }
 
 // Watcher returns what this host knows of the watched rows.
 func (g *Gateway) Watcher() *holder.Watcher { return g.watcher }
 
 // cells counts the cells; before the layout is known there is one.
-func (g *Gateway) cells() int { return max(1, len(*g.seats.Load())) }
+func (g *Gateway) cells() int { return max(1, len(*g.participants.Load())) }
 
-// recordOwned follows the list of workers while this host owns a cell.
-func (g *Gateway) recordOwned() {
+// followWorkersIfOwner follows the list of workers while this host owns a cell.
+func (g *Gateway) followWorkersIfOwner() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.deps.FollowWorkers(g.Owned() > 0)
 }
 
-// InTouch returns when the table last confirmed who the owners are.
-func (g *Gateway) InTouch() cottonlanding.Millis {
+// LastConfirmedAt returns when the table last confirmed who the owners are.
+func (g *Gateway) LastConfirmedAt() cottonlanding.Millis {
 	latest := g.watcher.LastContactAt()
-	for _, s := range *g.seats.Load() {
-		latest = max(latest, s.holder.View().Read, s.holder.ValidUntil()-g.settings.Holder.TTL)
+	for _, p := range *g.participants.Load() {
+		latest = max(latest, p.holder.View().Read, p.holder.ValidUntil()-g.settings.Holder.TTL)
 	}
 	return latest
 }
@@ -246,8 +246,8 @@
 	if g.watcher.Slow() {
 		return true
 	}
-	for _, s := range *g.seats.Load() {
-		if s.holder.Slow() {
+	for _, p := range *g.participants.Load() {
+		if p.holder.Slow() {
 			return true
 		}
 	}
@@ -258,8 +258,8 @@
 func (g *Gateway) Counts() (planner.Counts, bool) {
 	var sum planner.Counts
 	owns := false
-	for _, s := range *g.seats.Load() {
-		if local := s.local(); local != nil {
+	for _, p := range *g.participants.Load() {
+		if local := p.local(); local != nil {
 			sum.Add(local.Counts())
 			owns = true
 		}
@@ -270,42 +270,42 @@
 // Submit hands in a workflow. ErrUnavailable, ErrNotFound and ErrCannotRun mean
 // that it was not accepted and never will be, ErrAmbiguous that it may be.
 func (g *Gateway) Submit(ctx context.Context, workflow cottonlanding.Workflow) error {
-	return g.follow(workflow.ID, func(s *seat) error { return s.submit(ctx, workflow) })
+	return g.callFollowingReferral(workflow.ID, func(p *participant) error { return p.submit(ctx, workflow) })
 }
 
 // Cancel cancels a workflow. The errors are as for Submit.
 func (g *Gateway) Cancel(ctx context.Context, id cottonlanding.WorkflowID) error {
-	return g.follow(id, func(s *seat) error { return s.cancel(ctx, id) })
+	return g.callFollowingReferral(id, func(p *participant) error { return p.cancel(ctx, id) })
 }
 
 // State returns the committed state of a workflow, from the table if the owner
 // can't be asked, or ErrNotFound.
 func (g *Gateway) State(ctx context.Context, id cottonlanding.WorkflowID) (cottonlanding.WorkflowState, error) {
 	var state cottonlanding.WorkflowState
-	err := g.follow(id, func(s *seat) error {
+	err := g.callFollowingReferral(id, func(p *participant) error {
 		var err error
-		state, err = s.state(ctx, id)
+		state, err = p.state(ctx, id)
 		return err
 	})
 	return state, err
 }
 
-// follow asks a workflow's home, and the cell that keeps the workflow if that is another.
-func (g *Gateway) follow(id cottonlanding.WorkflowID, ask func(*seat) error) error {
+// callFollowingReferral asks a workflow's home, and the cell that keeps the workflow if that is another.
+func (g *Gateway) callFollowingReferral(id cottonlanding.WorkflowID, call func(*participant) error) error {
 	s, err := g.home(id)
 	if err != nil {
 		return err
 	}
-	err = ask(s)
+	err = call(s)
 	var referred *driver.ReferredError
 	if !errors.As(err, &referred) {
 		return err
 	}
-	keeper := g.seat(referred.To)
-	if keeper == nil {
+	destination := g.participant(referred.To)
+	if destination == nil {
 		return fmt.Errorf("workflow %s is kept in cell %s, which isn't known here: %w", id, referred.To, cottonlanding.ErrUnavailable)
 	}
-	return ask(keeper)
+	return call(destination)
 }
 
 // Waiting counts the accepted workflows of a queue that have not begun, in all cells.
@@ -313,18 +313,18 @@
 	if !g.Ready() {
 		return 0, fmt.Errorf("the cells are not known yet: %w", cottonlanding.ErrUnavailable)
 	}
-	seats := *g.seats.Load()
-	counts, faults := make([]int, len(seats)), make([]error, len(seats))
-	var asked sync.WaitGroup
-	for at, s := range seats {
-		asked.Go(func() { counts[at], faults[at] = s.waiting(ctx, queue) })
+	participants := *g.participants.Load()
+	counts, errs := make([]int, len(participants)), make([]error, len(participants))
+	var queries sync.WaitGroup
+	for at, p := range participants {
+		queries.Go(func() { counts[at], errs[at] = p.waiting(ctx, queue) })
 	}
-	asked.Wait()
+	queries.Wait()
 	sum := 0
 	for _, count := range counts {
 		sum += count
 	}
-	return sum, errors.Join(faults...)
+	return sum, errors.Join(errs...)
 }
 
 // Leave gives up what this host owns and keeps it from owning again. Calls go on
@@ -333,10 +333,10 @@
 	g.mu.Lock()
 	g.closed = true
 	g.mu.Unlock()
-	g.reviewVigils()
+	g.updateWatches()
 	var left sync.WaitGroup
-	for _, s := range *g.seats.Load() {
-		left.Go(func() { s.leave(ctx) })
+	for _, p := range *g.participants.Load() {
+		left.Go(func() { p.leave(ctx) })
 	}
 	left.Wait()
 }
@@ -350,11 +350,11 @@
 
 // Close ends the host's part.
 func (g *Gateway) Close(ctx context.Context) {
-	g.endLife()
-	g.layoutDuty.Close()
-	g.referralsDuty.Close()
-	for _, s := range *g.seats.Load() {
-		s.close()
+	g.endLifetime()
+	g.layoutLoop.Close()
+	g.referralsLoop.Close()
+	for _, p := range *g.participants.Load() {
+		p.close()
 	}
 	g.watcher.Close()
 	g.messenger.Close(ctx)
--- a/internal/workflow/gateway/gateway_test.go
+++ b/internal/workflow/gateway/gateway_test.go
@@ -30,77 +30,77 @@
 type deployment struct {
 	t        *testing.T
 	clock    cottonlanding.Clock
-	table    *switchedTable
+	table    *faultyTable
 	watched  cottonlanding.Feed
-	ledger   *ledger
+	recorder *recorder
 	runner   *runner.Runner
 	workers  []cottonlanding.WorkerInfo
 	perCell  int
 	referral cottonlanding.ReferralPolicy
-	// slowFrom is how long a call takes of a table that hosts take for slow.
-	slowFrom cottonlanding.Millis
-	// lives counts the hosts that were started after others were killed.
-	lives int
-	hosts []*gateway.Gateway
+	// slowThreshold is how long a call takes of a table that hosts take for slow.
+	slowThreshold cottonlanding.Millis
+	// restarts counts the hosts that were started after others were killed.
+	restarts int
+	hosts    []*gateway.Gateway
 	// lists are the hosts' relays of the list of workers, listReads counts readings of that.
 	lists     []*relayer.Relay
 	listReads atomic.Int64
-	// paths stand between each host and the others that call it.
-	paths []*proxy.Proxy
+	// proxies stand between each host and the others that call it.
+	proxies []*proxy.Proxy
 }
 
-// switchedTable can be switched off.
-type switchedTable struct {
+// faultyTable can be switched off.
+type faultyTable struct {
 	cottonlanding.Table
-	off atomic.Bool
-	// callTakes is how long a commit or a read takes.
-	callTakes atomic.Int64
-	// perRow is how long each row of a scan takes, as on a slow link.
-	perRow atomic.Int64
-	// commitTakes is how long a commit of many rows takes.
-	commitTakes atomic.Int64
+	unavailable atomic.Bool
+	// callDelay is how long a commit or a read takes.
+	callDelay atomic.Int64
+	// scanRowDelay is how long each row of a scan takes, as on a slow link.
+	scanRowDelay atomic.Int64
+	// commitDelay is how long a commit of many rows takes.
+	commitDelay atomic.Int64
 }
 
-// switchedFeed tells nothing while its table is off.
-type switchedFeed struct {
+// faultyFeed tells nothing while its table is off.
+type faultyFeed struct {
 	cottonlanding.Feed
-	table *switchedTable
+	table *faultyTable
 }
 
-func (f switchedFeed) Read(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
+func (f faultyFeed) Read(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
 	news, err := f.Feed.Read(ctx, version, wait)
-	if f.table.off.Load() {
+	if f.table.unavailable.Load() {
 		return cottonlanding.FeedReading{}, cottonlanding.ErrUnavailable
 	}
 	return news, err
 }
 
-func (t *switchedTable) Commit(ctx context.Context, transaction cottonlanding.Transaction) (cottonlanding.Receipt, error) {
-	if t.off.Load() {
+func (t *faultyTable) Commit(ctx context.Context, transaction cottonlanding.Transaction) (cottonlanding.Receipt, error) {
+	if t.unavailable.Load() {
 		return cottonlanding.Receipt{}, cottonlanding.ErrUnavailable
 	}
-	time.Sleep(time.Duration(t.callTakes.Load()))
+	time.Sleep(time.Duration(t.callDelay.Load()))
 	if len(transaction.Writes) > 1 { // a beat is one
-		time.Sleep(time.Duration(t.commitTakes.Load()))
+		time.Sleep(time.Duration(t.commitDelay.Load()))
 	}
 	return t.Table.Commit(ctx, transaction)
 }
 
-func (t *switchedTable) Read(ctx context.Context, keys ...cottonlanding.Key) ([]cottonlanding.Row, error) {
-	if t.off.Load() {
+func (t *faultyTable) Read(ctx context.Context, keys ...cottonlanding.Key) ([]cottonlanding.Row, error) {
+	if t.unavailable.Load() {
 		return nil, cottonlanding.ErrUnavailable
 	}
-	time.Sleep(time.Duration(t.callTakes.Load()))
+	time.Sleep(time.Duration(t.callDelay.Load()))
 	return t.Table.Read(ctx, keys...)
 }
 
-func (t *switchedTable) Scan(ctx context.Context, prefix, after cottonlanding.Key, limit int) ([]cottonlanding.Row, error) {
-	if t.off.Load() {
+func (t *faultyTable) Scan(ctx context.Context, prefix, after cottonlanding.Key, limit int) ([]cottonlanding.Row, error) {
+	if t.unavailable.Load() {
 		return nil, cottonlanding.ErrUnavailable
 	}
 	rows, err := t.Table.Scan(ctx, prefix, after, limit)
 	select {
-	case <-time.After(time.Duration(t.perRow.Load() * int64(len(rows)))):
+	case <-time.After(time.Duration(t.scanRowDelay.Load() * int64(len(rows)))):
 		return rows, err
 	case <-ctx.Done():
 		return nil, cottonlanding.ErrUnavailable
@@ -123,20 +123,20 @@
 
 // deployCells starts hosts with workers in as many data centres as there are to be cells.
 func deployCells(t *testing.T, cells int) *deployment {
-	return deployWith(t, cells, selector.Default().Referral)
+	return deployWithReferral(t, cells, selector.Default().Referral)
 }
 
-func deployWith(t *testing.T, cells int, referral cottonlanding.ReferralPolicy) *deployment {
-	return deployOn(t, cells, referral, neverSlow)
+func deployWithReferral(t *testing.T, cells int, referral cottonlanding.ReferralPolicy) *deployment {
+	return deployWithSlowCall(t, cells, referral, neverSlow)
 }
 
-// deployOn starts hosts that take the table for slow from calls of some length on.
-func deployOn(t *testing.T, cells int, referral cottonlanding.ReferralPolicy, slowFrom cottonlanding.Millis) *deployment {
+// deployWithSlowCall starts hosts that take the table for slow from calls of some length on.
+func deployWithSlowCall(t *testing.T, cells int, referral cottonlanding.ReferralPolicy, slowThreshold cottonlanding.Millis) *deployment {
 	const workersPerCell = 4
 	clock := cottonlanding.NewClock()
 	store := keeper.New()
-	kept := newLedger(store)
-	d := &deployment{t: t, clock: clock, watched: store.Watched(clock), table: &switchedTable{Table: kept}, ledger: kept, perCell: workersPerCell, referral: referral, slowFrom: slowFrom}
+	recorded := newRecorder(store)
+	d := &deployment{t: t, clock: clock, watched: store.Watched(clock), table: &faultyTable{Table: recorded}, recorder: recorded, perCell: workersPerCell, referral: referral, slowThreshold: slowThreshold}
 	d.runner = runner.New(clock, func(key cottonlanding.RunKey) runner.Fate {
 		return runner.Fate{Lasts: 100, Forever: strings.HasPrefix(string(key.Task.Workflow), "lasting")}
 	})
@@ -156,32 +156,32 @@
 			host.Close(ctx)
 		}
 		require.Empty(t, d.runner.Violations())
-		require.Empty(t, d.ledger.broken())
+		require.Empty(t, d.recorder.inconsistencies())
 	})
 	return d
 }
 
-func (d *deployment) host(number int) *gateway.Gateway { return d.sizedHost(number, 0) }
+func (d *deployment) host(number int) *gateway.Gateway { return d.hostWithShare(number, 0) }
 
-// sizedHost starts a host with a share of a core.
-func (d *deployment) sizedHost(number int, share float64) *gateway.Gateway {
+// hostWithShare starts a host with a share of a core.
+func (d *deployment) hostWithShare(number int, share float64) *gateway.Gateway {
 	probe, err := net.Listen("tcp", peerIP+":0")
 	require.NoError(d.t, err)
 	address := cottonlanding.Address(probe.Addr().String())
 	require.NoError(d.t, probe.Close())
-	path, err := proxy.New(address)
+	peerProxy, err := proxy.New(address)
 	require.NoError(d.t, err)
-	d.t.Cleanup(path.Close)
-	d.paths = append(d.paths, path)
+	d.t.Cleanup(peerProxy.Close)
+	d.proxies = append(d.proxies, peerProxy)
 	queues := cottonlanding.Queues{Version: 1, Queues: map[cottonlanding.QueueName]cottonlanding.Queue{
 		"Q": {Name: "Q", Service: "S", Attempts: 3, Stretch: 2, LatencyTarget: 1000},
 	}}
 	lists := d.newLists()
 	d.lists = append(d.lists, lists)
 	host, err := gateway.New(gateway.Settings{
-		Self:        holder.Member{ID: cottonlanding.SessionID(fmt.Sprintf("h%d", number)), Address: path.Address(), Share: share},
+		Self:        holder.Member{ID: cottonlanding.SessionID(fmt.Sprintf("h%d", number)), Address: peerProxy.Address(), Share: share},
 		PeerAddress: address,
-		Holder: holder.Timing{TTL: 600, SlowTTL: 2000, SlowCall: d.slowFrom, Poll: 100, Timeout: 500, SlowTimeout: 1000, SmallShareDelay: 300, SlowSmallShareDelay: 300,
+		Holder: holder.Timing{TTL: 600, SlowTTL: 2000, SlowCall: d.slowThreshold, Poll: 100, Timeout: 500, SlowTimeout: 1000, SmallShareDelay: 300, SlowSmallShareDelay: 300,
 			DelayPerOwned: 300, Jitter: 50},
 		Planner:        planner.Timing{Lease: 3000, CutOffGrace: 1000, StopTimeout: 300, Retention: cottonlanding.Minute},
 		Policy:         selector.Default().Planner,
@@ -189,7 +189,7 @@
 		WorkersPerCell: d.perCell,
 	}, gateway.Dependencies{
 		Table:         d.table,
-		Watched:       switchedFeed{d.watched, d.table},
+		Watched:       faultyFeed{d.watched, d.table},
 		Workers:       d.runner,
 		Clock:         d.clock,
 		Log:           slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -245,26 +245,26 @@
 	return state
 }
 
-func (d *deployment) succeeds(host int, id cottonlanding.WorkflowID) {
+func (d *deployment) requireSuccess(host int, id cottonlanding.WorkflowID) {
 	require.Eventually(d.t, func() bool { return d.state(host, id) == cottonlanding.WorkflowSucceeded },
 		15*time.Second, 20*time.Millisecond, "workflow %s", id)
 }
 
-func TestEveryHostTakesWorkflows(t *testing.T) {
+func TestSubmitAtAnyHost(t *testing.T) {
 	d := deploy(t)
 	d.owner()
 	for host := range d.hosts {
 		id := cottonlanding.WorkflowID(fmt.Sprintf("at%d", host))
 		d.submit(host, workflow(id))
 		d.submit((host+1)%3, workflow(id)) // again, elsewhere: still one
-		d.succeeds((host+2)%3, id)
+		d.requireSuccess((host+2)%3, id)
 	}
 	require.Equal(t, 18, d.runner.Starts())
 	_, err := d.hosts[0].State(context.Background(), "unknown")
 	require.ErrorIs(t, err, cottonlanding.ErrNotFound)
 }
 
-func TestBadWorkflowIsRefusedWithItsReason(t *testing.T) {
+func TestInvalidWorkflowError(t *testing.T) {
 	d := deploy(t)
 	d.owner()
 	bad := workflow("bad")
@@ -277,7 +277,7 @@
 	}
 }
 
-func TestOwnerIsKilled(t *testing.T) {
+func TestOwnerKilled(t *testing.T) {
 	d := deploy(t)
 	old := d.owner()
 	other := (old + 1) % 3
@@ -292,9 +292,9 @@
 	d.hosts[old].Close(killed)
 	d.hosts[old] = d.hosts[other]
 	d.submit(other, workflow("after"))
-	d.succeeds(other, "after")
+	d.requireSuccess(other, "after")
 	for number := range 10 {
-		d.succeeds(other, cottonlanding.WorkflowID(fmt.Sprintf("before%d", number)))
+		d.requireSuccess(other, cottonlanding.WorkflowID(fmt.Sprintf("before%d", number)))
 	}
 	require.Equal(t, 4, d.runner.Running(), "lasting tasks go on where they were")
 	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
@@ -304,9 +304,9 @@
 	require.Equal(t, cottonlanding.WorkflowCancelled, d.state(other, "lasting"))
 }
 
-// TestOwnerLoadsOverASlowLink checks that an owner whose link is slow comes to know
+// TestTakeOverOverSlowLink checks that an owner whose link is slow comes to know
 // hundreds of workflows: a page that takes longer than a call may would never arrive.
-func TestOwnerLoadsOverASlowLink(t *testing.T) {
+func TestTakeOverOverSlowLink(t *testing.T) {
 	d := deploy(t)
 	old := d.owner()
 	other := (old + 1) % 3
@@ -314,13 +314,13 @@
 	for number := range workflows {
 		d.submit(old, workflow(cottonlanding.WorkflowID(fmt.Sprintf("w%d", number))))
 	}
-	d.table.perRow.Store(int64(7 * time.Millisecond))
+	d.table.scanRowDelay.Store(int64(7 * time.Millisecond))
 	killed, cancel := context.WithCancel(context.Background())
 	cancel()
 	d.hosts[old].Close(killed)
 	d.hosts[old] = d.hosts[other]
 	d.submit(other, workflow("after"))
-	d.succeeds(other, "after")
+	d.requireSuccess(other, "after")
 }
 
 // TestSmallOwnerHandsOver checks that a large host that comes later gets the
@@ -328,7 +328,7 @@
 func TestSmallOwnerHandsOver(t *testing.T) {
 	d := deploy(t)
 	d.owner()
-	d.hosts = append(d.hosts, d.sizedHost(3, 0.8))
+	d.hosts = append(d.hosts, d.hostWithShare(3, 0.8))
 	end := time.Now().Add(15 * time.Second)
 	number := 0
 	for {
@@ -341,7 +341,7 @@
 		require.True(t, time.Now().Before(end), "the large host never owns the workflows")
 	}
 	for at := range number {
-		d.succeeds(at%4, cottonlanding.WorkflowID(fmt.Sprintf("w%d", at)))
+		d.requireSuccess(at%4, cottonlanding.WorkflowID(fmt.Sprintf("w%d", at)))
 	}
 	require.Equal(t, 6*number, d.runner.Starts(), "each task runs once")
 }
@@ -356,24 +356,24 @@
 	d.hosts[old].Leave(ctx)
 	d.submit(old, workflow("meanwhile")) // the host that leaves passes calls on
 	took := time.Since(began)
-	d.succeeds(old, "before")
-	d.succeeds(old, "meanwhile")
+	d.requireSuccess(old, "before")
+	d.requireSuccess(old, "meanwhile")
 	require.Less(t, took, 2*time.Second)
 	t.Logf("a workflow was taken %s after the owner began to leave", took)
 }
 
-func TestTableIsOut(t *testing.T) {
+func TestTableUnavailable(t *testing.T) {
 	d := deploy(t)
 	old := d.owner()
 	d.submit(old, workflow("before"))
-	d.succeeds(old, "before")
-	d.table.off.Store(true)
+	d.requireSuccess(old, "before")
+	d.table.unavailable.Store(true)
 	require.Eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		return errors.Is(d.hosts[(old+1)%3].Submit(ctx, workflow("refused")), cottonlanding.ErrUnavailable)
 	}, 5*time.Second, 50*time.Millisecond, "refused at once")
-	d.table.off.Store(false)
+	d.table.unavailable.Store(false)
 	d.submit(old, workflow("after"))
-	d.succeeds(old, "after")
+	d.requireSuccess(old, "after")
 }
--- a/internal/workflow/gateway/gauges.go
+++ b/internal/workflow/gateway/gauges.go
@@ -31,7 +31,7 @@
 	} {
 		gauge(name, float64(count))
 	}
-	for name, span := range g.progress() {
+	for name, span := range g.progressGauges() {
 		gauge(name, span.Duration().Seconds())
 	}
 	for kind, count := range counts.Ends {
@@ -39,12 +39,12 @@
 	}
 }
 
-// progress returns the gauges of how quickly the owned cells got on lately, the slowest
+// progressGauges returns the gauges of how quickly the owned cells got on lately, the slowest
 // of each.
-func (g *Gateway) progress() map[string]cottonlanding.Millis {
+func (g *Gateway) progressGauges() map[string]cottonlanding.Millis {
 	var worst driver.Stats
-	for _, s := range *g.seats.Load() {
-		if local := s.local(); local != nil {
+	for _, p := range *g.participants.Load() {
+		if local := p.local(); local != nil {
 			worst = worst.Merge(local.Stats())
 		}
 	}
--- a/internal/workflow/gateway/golden_gauges_test.go
+++ b/internal/workflow/gateway/golden_gauges_test.go
@@ -16,7 +16,7 @@
 	d := deploy(t)
 	owner := d.owner()
 	d.submit(owner, workflow("w"))
-	d.succeeds(owner, "w")
+	d.requireSuccess(owner, "w")
 	var of transcriber.Gauges
 	// Ends are counted as workers list them.
 	require.Eventually(t, func() bool {
--- a/internal/workflow/gateway/golden_test.go
+++ b/internal/workflow/gateway/golden_test.go
@@ -20,7 +20,7 @@
 func TestGoldenNames(t *testing.T) {
 	comparer.RequireList(t, "Keys", gateway.LayoutKey, gateway.OperatorsKey, gateway.PartitionOf(7),
 		gateway.OwnersPartition(0, 33), gateway.OwnersPartition(1, 33), gateway.OwnersPartition(1, 16))
-	comparer.RequireList(t, "Obstacles", gateway.Obstacles...)
+	comparer.RequireList(t, "Obstacles", gateway.Rejections...)
 }
 
 // TestGoldenRelayedList guards against a list of workers that a host of another version reads as something else.
--- a/internal/workflow/gateway/interrupted_test.go
+++ b/internal/workflow/gateway/interrupted_test.go
@@ -10,12 +10,12 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// againWithin is how soon a lasting task must run again where capacity for it exists twice over. Source:
+// maxDowntime is how soon a lasting task must run again where capacity for it exists twice over. Source:
 // the users' rule on lost tasks: six seconds after its last run, and three of calm.
-const againWithin = 9 * time.Second
+const maxDowntime = 9 * time.Second
 
-// crashOneOf crashes the first worker with a lasting task.
-func (d *deployment) crashOneOf(lasting int) {
+// crashWorkerWithLastingTask crashes the first worker with a lasting task.
+func (d *deployment) crashWorkerWithLastingTask(lasting int) {
 	for _, worker := range d.workers {
 		d.runner.Crash(worker.ID)
 		if d.runner.Lasting() < lasting {
@@ -26,39 +26,39 @@
 	require.Fail(d.t, "no worker has a lasting task")
 }
 
-// TestInterruptedTasksOfAFullCellRunElsewhere fills one cell with lasting tasks, beside others that are
+// TestInterruptedTasksDelegated fills one cell with lasting tasks, beside others that are
 // empty, and crashes one of its workers for good. What is lost with it runs again. Seen: it waited in
 // its cell for as long as that was full.
-func TestInterruptedTasksOfAFullCellRunElsewhere(t *testing.T) {
+func TestInterruptedTasksDelegated(t *testing.T) {
 	d := deployCells(t, cells)
-	d.settled()
+	d.awaitOwners()
 	const lasting = 32
-	d.submit(0, lastingAt(0, "fills", lasting))
+	d.submit(0, lastingWorkflowAt(0, "fills", lasting))
 	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, 10*time.Second, 10*time.Millisecond)
-	d.crashOneOf(lasting)
-	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, againWithin, 10*time.Millisecond, "other cells have room for what was lost")
+	d.crashWorkerWithLastingTask(lasting)
+	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, maxDowntime, 10*time.Millisecond, "other cells have room for what was lost")
 }
 
-// TestInterruptedTasksRunElsewhereWhileOwnersChange loses two workers of a full cell for good while all owners are
+// TestInterruptedTasksDelegatedDuringOwnerChanges loses two workers of a full cell for good while all owners are
 // killed, some time after that. Seen: what was lost waited in its cell for good. It runs elsewhere in time,
 // each task once, and ends with its workflow.
-func TestInterruptedTasksRunElsewhereWhileOwnersChange(t *testing.T) {
+func TestInterruptedTasksDelegatedDuringOwnerChanges(t *testing.T) {
 	for _, killedAfter := range []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second} {
 		t.Run(killedAfter.String(), func(t *testing.T) {
 			t.Parallel()
 			d := deployCells(t, cells)
-			d.settled()
+			d.awaitOwners()
 			const lasting = 32
-			filling := lastingAt(0, "fills", lasting)
+			filling := lastingWorkflowAt(0, "fills", lasting)
 			d.submit(0, filling)
 			require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, 10*time.Second, 10*time.Millisecond)
-			d.crashOneOf(lasting)
-			d.crashOneOf(d.runner.Lasting())
+			d.crashWorkerWithLastingTask(lasting)
+			d.crashWorkerWithLastingTask(d.runner.Lasting())
 			time.Sleep(killedAfter)
 			for host := range d.hosts {
 				d.kill(host)
 			}
-			require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, againWithin, 10*time.Millisecond, "other cells have room for what was lost")
+			require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, maxDowntime, 10*time.Millisecond, "other cells have room for what was lost")
 			require.Eventually(t, func() bool {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
@@ -69,28 +69,28 @@
 	}
 }
 
-// TestInterruptedTasksFindRoomThatNothingElseFits has lasting tasks wait in each cell that are too large for what its
+// TestInterruptedTasksUseRoomTooSmallForOthers has lasting tasks wait in each cell that are too large for what its
 // workers have left, and crashes a worker with small ones for good. Seen: no cell with tasks that wait took any from
 // another one, so that what was lost waited for good beside workers with room for it.
-func TestInterruptedTasksFindRoomThatNothingElseFits(t *testing.T) {
+func TestInterruptedTasksUseRoomTooSmallForOthers(t *testing.T) {
 	const (
 		full, nearlyFull = 32, 28
 		lasting          = full + (cells-1)*nearlyFull
 	)
 	d := deployCells(t, cells)
-	d.settled()
-	d.submit(0, lastingAt(0, "fills", full))
+	d.awaitOwners()
+	d.submit(0, lastingWorkflowAt(0, "fills", full))
 	for cell := 1; cell < cells; cell++ {
-		d.submit(0, lastingAt(cottonlanding.CellNumber(cell), "nearly", nearlyFull))
+		d.submit(0, lastingWorkflowAt(cottonlanding.CellNumber(cell), "nearly", nearlyFull))
 	}
 	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, 10*time.Second, 10*time.Millisecond)
 	for cell := range cells {
-		large := lastingAt(cottonlanding.CellNumber(cell), "large", 2)
+		large := lastingWorkflowAt(cottonlanding.CellNumber(cell), "large", 2)
 		large.Steps[0].Resources.CPU = 8000
 		d.submit(0, large)
 	}
 	time.Sleep(3 * time.Second) // all owners tell of what waits
 	require.Equal(t, lasting, d.runner.Lasting(), "nothing large finds room")
-	d.crashOneOf(lasting)
-	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, againWithin, 10*time.Millisecond, "the other cells have room for what was lost")
+	d.crashWorkerWithLastingTask(lasting)
+	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, maxDowntime, 10*time.Millisecond, "the other cells have room for what was lost")
 }
--- a/internal/workflow/gateway/layout.go
+++ b/internal/workflow/gateway/layout.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// layoutPoll is how often the owner of the first cell looks whether there are workers
+	// layoutInterval is how often the owner of the first cell looks whether there are workers
 	// that the layout lacks.
-	layoutPoll = 300 * cottonlanding.Millis(1)
-	// settleFor is how long the number of workers must stand still before the first
+	layoutInterval = 300 * cottonlanding.Millis(1)
+	// settleTime is how long the number of workers must stand still before the first
 	// layout is made, settleWithin the longest wait for that: the number of cells stays,
 	// and workers that start together are listed over a second or two.
-	settleFor    = 600 * cottonlanding.Millis(1)
-	settleWithin = 5 * cottonlanding.Second
-	// ownersWithin is how long a host waits for all cells to have had an owner before it
+	settleTime    = 600 * cottonlanding.Millis(1)
+	maxSettleTime = 5 * cottonlanding.Second
+	// ownersTimeout is how long a host waits for all cells to have had an owner before it
 	// takes calls, reportsWithin the same for their reports: what comes before those goes
 	// where there may be no room, and lasting workflows stay there.
-	ownersWithin  = 4 * cottonlanding.Second
-	reportsWithin = 2 * cottonlanding.Second
+	ownersTimeout  = 4 * cottonlanding.Second
+	reportsTimeout = 2 * cottonlanding.Second
 	// layoutTimeout bounds a call of the table.
 	layoutTimeout = cottonlanding.Second
 )
@@ -33,20 +33,20 @@
 // settling watches the number of workers before there is a layout.
 type settling struct {
 	workers int
-	// began is when the list of workers was first seen, since when their number last changed.
-	began, since cottonlanding.Millis
+	// firstSeenAt is when the list of workers was first seen, unchangedSince when their number last changed.
+	firstSeenAt, unchangedSince cottonlanding.Millis
 }
 
 // settled reports whether the number of workers has stood still, or has been awaited for
 // long enough.
 func (s *settling) settled(workers int, now cottonlanding.Millis) bool {
-	if s.began == 0 {
-		s.began = now
+	if s.firstSeenAt == 0 {
+		s.firstSeenAt = now
 	}
 	if workers != s.workers {
-		s.workers, s.since = workers, now
+		s.workers, s.unchangedSince = workers, now
 	}
-	return workers > 0 && now-s.since >= settleFor || now-s.began >= settleWithin
+	return workers > 0 && now-s.unchangedSince >= settleTime || now-s.firstSeenAt >= maxSettleTime
 }
 
 // followLayout takes in the newest layout, and writes it if this host owns the first cell.
@@ -57,15 +57,15 @@
 	}
 	exists := row.Version > 0
 	if exists {
-		g.takeLayout(row)
+		g.applyLayout(row)
 	}
-	if g.seat(firstCell).mine() {
+	if g.participant(firstCell).isOwner() {
 		g.writeLayout(ctx, exists, g.deps.Clock.Now())
 	}
 }
 
-// takeLayout puts a layout in force. One that can't be read leaves the last one there.
-func (g *Gateway) takeLayout(row cottonlanding.Row) {
+// applyLayout puts a layout in force. One that can't be read leaves the last one there.
+func (g *Gateway) applyLayout(row cottonlanding.Row) {
 	if row.Version == g.layoutVersion || row.Version == g.refusedVersion {
 		return
 	}
@@ -77,8 +77,8 @@
 		return
 	}
 	g.layoutVersion = row.Version
-	g.addSeats(layout.Cells)
-	g.layoutAt.CompareAndSwap(0, int64(g.deps.Clock.Now()))
+	g.addParticipants(layout.Cells)
+	g.layoutKnownAt.CompareAndSwap(0, int64(g.deps.Clock.Now()))
 	g.layout.Store(&layout)
 	g.deps.Log.Info("layout", "Version", row.Version, "Cells", layout.Cells, "Racks", len(layout.Racks))
 }
@@ -120,28 +120,28 @@
 	if g.layout.Load() == nil {
 		return false
 	}
-	waited := g.deps.Clock.Now() - cottonlanding.Millis(g.layoutAt.Load())
-	seats := *g.seats.Load()
-	for _, s := range seats {
-		if len(seats) > 1 && !s.begun(waited) {
+	waited := g.deps.Clock.Now() - cottonlanding.Millis(g.layoutKnownAt.Load())
+	participants := *g.participants.Load()
+	for _, p := range participants {
+		if len(participants) > 1 && !p.isReady(waited) {
 			return false
 		}
 	}
 	g.ready.Store(true)
-	g.reviewVigils()
-	g.deps.Log.Info("cells are known", "Cells", len(seats), "Waited", waited)
+	g.updateWatches()
+	g.deps.Log.Info("cells are known", "Cells", len(participants), "Waited", waited)
 	return true
 }
 
-// begun reports whether the cell has had an owner that told of its room, or was awaited for
+// isReady reports whether the cell has had an owner that told of its room, or was awaited for
 // long enough.
-func (s *seat) begun(waited cottonlanding.Millis) bool {
-	view := s.holder.View()
+func (p *participant) isReady(waited cottonlanding.Millis) bool {
+	view := p.holder.View()
 	if view.Version == 0 {
-		return waited >= ownersWithin
+		return waited >= ownersTimeout
 	}
-	_, told := s.left()
-	return told || waited >= reportsWithin
+	_, told := p.latestReport()
+	return told || waited >= reportsTimeout
 }
 
 // cellWorkers holds the workers of a cell as of a list and a layout.
@@ -153,21 +153,21 @@
 
 // listWorkers returns the cell's workers, the same slice until something changed, and
 // false before they are known.
-func (s *seat) listWorkers() ([]cottonlanding.WorkerInfo, bool) {
-	list, known := s.gateway.deps.ListWorkers()
-	layout := s.gateway.layout.Load()
+func (p *participant) listWorkers() ([]cottonlanding.WorkerInfo, bool) {
+	list, known := p.gateway.deps.ListWorkers()
+	layout := p.gateway.layout.Load()
 	if !known || layout == nil {
 		return nil, false
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.workers.layout != layout || !sameList(s.workers.list, list) {
-		s.workers = cellWorkers{list: list, layout: layout, own: layout.Workers(list, s.cell)}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.workers.layout != layout || !isSameSlice(p.workers.list, list) {
+		p.workers = cellWorkers{list: list, layout: layout, own: layout.Workers(list, p.cell)}
 	}
-	return s.workers.own, true
+	return p.workers.own, true
 }
 
-// sameList reports whether both are the same slice: a new list is a new slice.
-func sameList(a, b []cottonlanding.WorkerInfo) bool {
+// isSameSlice reports whether both are the same slice: a new list is a new slice.
+func isSameSlice(a, b []cottonlanding.WorkerInfo) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/internal/workflow/gateway/lists.go
+++ b/internal/workflow/gateway/lists.go
@@ -16,12 +16,12 @@
 // listSource returns the host that reads the list of workers for this one, or nil if this
 // one reads it itself: as the owner of the first cell, or while that has none.
 func (g *Gateway) listSource() relayer.Source {
-	first := g.seat(firstCell)
-	if first == nil || first.mine() {
+	first := g.participant(firstCell)
+	if first == nil || first.isOwner() {
 		return nil
 	}
 	view := first.holder.View()
-	if view.Owner.ID == "" || view.Owner.Member == g.settings.Self || view.BeatAge > ownerSilence {
+	if view.Owner.ID == "" || view.Owner.Member == g.settings.Self || view.BeatAge > ownerSilenceTimeout {
 		return nil
 	}
 	return peerSource{messenger: g.messenger, owner: view.Owner.ID, address: view.Owner.Address}
--- a/internal/workflow/gateway/lists_test.go
+++ b/internal/workflow/gateway/lists_test.go
@@ -49,11 +49,11 @@
 	}
 }
 
-// TestOwnerOfTheFirstCellReadsTheListForAll checks that the other owners get the list over the
+// TestFirstCellOwnerRelaysList checks that the other owners get the list over the
 // network from the owner of the first cell, and from the next one once that is killed.
-func TestOwnerOfTheFirstCellReadsTheListForAll(t *testing.T) {
+func TestFirstCellOwnerRelaysList(t *testing.T) {
 	d := deployCells(t, cells)
-	d.settled()
+	d.awaitOwners()
 	var stops []context.CancelFunc
 	follow := func(lists *relayer.Relay) {
 		ctx, stop := context.WithCancel(context.Background())
--- a/internal/workflow/gateway/peerserver.go
+++ b/internal/workflow/gateway/peerserver.go
@@ -19,10 +19,10 @@
 }
 
 // owned returns the part of this host in a cell, with its driver.
-func (s *peerServer) owned(cell int32) (*seat, *driver.Driver, error) {
-	if at := s.gateway.seat(cottonlanding.CellNumber(cell)); at != nil {
-		if local := at.local(); local != nil {
-			return at, local, nil
+func (s *peerServer) owned(cell int32) (*participant, *driver.Driver, error) {
+	if p := s.gateway.participant(cottonlanding.CellNumber(cell)); p != nil {
+		if local := p.local(); local != nil {
+			return p, local, nil
 		}
 	}
 	return nil, nil, fmt.Errorf("%s does not own cell %d: %w", s.gateway.settings.Self.ID, cell, cottonlanding.ErrUnavailable)
@@ -46,11 +46,11 @@
 	if err := json.Unmarshal(request.GetWorkflow(), &workflow); err != nil {
 		return reply(fmt.Errorf("%w: %w", cottonlanding.ErrCannotRun, err)), nil
 	}
-	at, owner, err := s.owned(request.GetCell())
+	p, owner, err := s.owned(request.GetCell())
 	if err != nil {
 		return reply(err), nil
 	}
-	return reply(at.hand(ctx, owner, workflow)), nil
+	return reply(p.submitLocal(ctx, owner, workflow)), nil
 }
 
 // Cancel implements wire.WorkflowsServer.
--- a/internal/workflow/gateway/silence_test.go
+++ b/internal/workflow/gateway/silentconnection_test.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// callLimit bounds a call of a client, as on the users' platform.
-	callLimit = 1200 * time.Millisecond
-	// doubtWithin is how soon calls must take another connection than one on which
+	// clientTimeout bounds a call of a client, as on the users' platform.
+	clientTimeout = 1200 * time.Millisecond
+	// reconnectWithin is how soon calls must take another connection than one on which
 	// a call waits.
-	doubtWithin = 700 * time.Millisecond
-	// patience is how long a call waits that must be answered. A call on a silent
+	reconnectWithin = 700 * time.Millisecond
+	// answerTimeout is how long a call waits that must be answered. A call on a silent
 	// connection fails earlier.
-	patience = 10 * time.Second
+	answerTimeout = 10 * time.Second
 )
 
 // submitOnce hands a workflow in with one call.
-func (d *deployment) submitOnce(host int, id string, limit time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func (d *deployment) submitOnce(host int, id string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return d.hosts[host].Submit(ctx, workflow(cottonlanding.WorkflowID(id)))
 }
@@ -36,57 +36,57 @@
 		began := time.Now()
 		_, err := d.hosts[host].Waiting(context.Background(), "Q")
 		return err == nil && time.Since(began) < 200*time.Millisecond
-	}, patience, time.Millisecond)
+	}, answerTimeout, time.Millisecond)
 }
 
-// TestSilentConnectionsBetweenHosts makes the connections between all hosts go
+// TestSilentPeerConnections makes the connections between all hosts go
 // silent for good. The call that finds out is answered in its time, as unclear; one
 // that comes a little later is not lost with it, and the next one works.
-func TestSilentConnectionsBetweenHosts(t *testing.T) {
+func TestSilentPeerConnections(t *testing.T) {
 	d := deploy(t)
 	owner := d.owner()
 	host := (owner + 1) % 3
 	d.submit(host, workflow("first"))
 	for round := range 3 {
 		d.connect(host)
-		before := d.paths[owner].Accepted()
-		for _, path := range d.paths {
-			path.Silence()
+		before := d.proxies[owner].Accepted()
+		for _, peerProxy := range d.proxies {
+			peerProxy.Silence()
 		}
 		lost := make(chan error, 1)
-		go func() { lost <- d.submitOnce(host, fmt.Sprintf("lost%d", round), callLimit) }()
-		time.Sleep(doubtWithin)
+		go func() { lost <- d.submitOnce(host, fmt.Sprintf("lost%d", round), clientTimeout) }()
+		time.Sleep(reconnectWithin)
 		later := fmt.Sprintf("later%d", round)
-		require.NoError(t, d.submitOnce(host, later, patience))
+		require.NoError(t, d.submitOnce(host, later, answerTimeout))
 		require.ErrorIs(t, <-lost, cottonlanding.ErrAmbiguous, "it may have arrived")
-		require.NoError(t, d.submitOnce(host, fmt.Sprintf("next%d", round), patience))
-		require.Equal(t, before+1, d.paths[owner].Accepted())
-		d.succeeds(host, cottonlanding.WorkflowID(later))
+		require.NoError(t, d.submitOnce(host, fmt.Sprintf("next%d", round), answerTimeout))
+		require.Equal(t, before+1, d.proxies[owner].Accepted())
+		d.requireSuccess(host, cottonlanding.WorkflowID(later))
 	}
 }
 
-// TestSlowOwnerKeepsItsConnection checks that an owner that is slow to commit, and
+// TestSlowOwnerKeepsConnection checks that an owner that is slow to commit, and
 // answers other calls meanwhile, is not called on ever more connections.
-func TestSlowOwnerKeepsItsConnection(t *testing.T) {
+func TestSlowOwnerKeepsConnection(t *testing.T) {
 	d := deploy(t)
 	owner := d.owner()
 	host := (owner + 1) % 3
 	d.submit(host, workflow("first"))
-	d.succeeds(host, "first")
-	before := d.paths[owner].Accepted()
-	d.table.commitTakes.Store(int64(doubtWithin))
+	d.requireSuccess(host, "first")
+	before := d.proxies[owner].Accepted()
+	d.table.commitDelay.Store(int64(reconnectWithin))
 	done := make(chan error, 1)
 	go func() {
-		done <- d.submitOnce(host, "slow", patience)
+		done <- d.submitOnce(host, "slow", answerTimeout)
 	}()
 	for {
 		select {
 		case err := <-done:
 			require.NoError(t, err)
-			require.Equal(t, before, d.paths[owner].Accepted())
+			require.Equal(t, before, d.proxies[owner].Accepted())
 			return
 		case <-time.After(50 * time.Millisecond):
-			ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+			ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 			if _, err := d.hosts[host].State(ctx, "first"); errors.Is(err, cottonlanding.ErrNotFound) {
 				t.Error("an accepted workflow is denied")
 			}
--- a/internal/workflow/gateway/slowtable_test.go
+++ b/internal/workflow/gateway/slowtable_test.go
@@ -10,17 +10,17 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/selector"
 )
 
-// TestTasksOutliveOwnersWithASlowTable kills all owners while the table is slow. Lasting tasks are
+// TestTasksSurviveOwnersKilledWithSlowTable kills all owners while the table is slow. Lasting tasks are
 // to go on where they are: the time without an owner must be shorter than their workers' leases.
-func TestTasksOutliveOwnersWithASlowTable(t *testing.T) {
-	d := deployOn(t, cells, selector.Default().Referral, slowCall)
-	d.settled()
+func TestTasksSurviveOwnersKilledWithSlowTable(t *testing.T) {
+	d := deployWithSlowCall(t, cells, selector.Default().Referral, slowCall)
+	d.awaitOwners()
 	const perCell = 24
 	for home := range cottonlanding.CellNumber(cells) {
-		d.submit(0, lastingAt(home, "lasts", perCell))
+		d.submit(0, lastingWorkflowAt(home, "lasts", perCell))
 	}
 	require.Eventually(t, func() bool { return d.runner.Lasting() == cells*perCell }, 10*time.Second, 10*time.Millisecond, "all run")
-	d.table.callTakes.Store(int64((slowCall + 20).Duration()))
+	d.table.callDelay.Store(int64((slowCall + 20).Duration()))
 	for host := range d.hosts {
 		d.kill(host)
 		time.Sleep(200 * time.Millisecond)
--- a/internal/workflow/gateway/timing_test.go
+++ b/internal/workflow/gateway/timing_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/gateway"
 )
 
-// TestTimingsAgree checks the relations that the spans need to one another.
-func TestTimingsAgree(t *testing.T) {
+// TestTimingRelations checks the relations that the spans need to one another.
+func TestTimingRelations(t *testing.T) {
 	timing := gateway.HolderTiming(true)
 	require.Positive(t, timing.Poll)
 	require.Less(t, timing.Poll+timing.Timeout, timing.TTL, "a beat may be lost once")
@@ -30,21 +30,21 @@
 	require.Equal(t, 3*cottonlanding.Second, gateway.PlannerTiming(3*cottonlanding.Second, 900, cottonlanding.Minute).Lease)
 }
 
-// TestSpansOutlastAKilledOwner: with the spans of service, leases ran out before a killed owner was replaced while
+// TestLeaseCoversTakeOver: with the spans of service, leases ran out before a killed owner was replaced while
 // the table was slow, and nothing said so.
-func TestSpansOutlastAKilledOwner(t *testing.T) {
+func TestLeaseCoversTakeOver(t *testing.T) {
 	timing := gateway.HolderTiming(true)
 	service := gateway.PlannerTiming(30*cottonlanding.Second, 900, cottonlanding.Minute)
-	require.NoError(t, gateway.CheckSpans(timing, service.Lease))
-	require.ErrorContains(t, gateway.CheckSpans(timing, 3*cottonlanding.Second), "a lease of 3s has 2.25s left")
+	require.NoError(t, gateway.CheckTakeOverTime(timing, service.Lease))
+	require.ErrorContains(t, gateway.CheckTakeOverTime(timing, 3*cottonlanding.Second), "a lease of 3s has 2.25s left")
 	timing.SlowJitter, timing.Jitter = 3*cottonlanding.Second, cottonlanding.Second
-	require.Error(t, gateway.CheckSpans(timing, service.Lease))
+	require.Error(t, gateway.CheckTakeOverTime(timing, service.Lease))
 	require.Greater(t, gateway.HolderTiming(true).RestartGrace, gateway.HolderTiming(true).Poll, "a next life has time to start")
 }
 
-// TestLastingTasksAreDownForNoLongerThanAllowed: nobody had added up for how long the waits of one owner can keep a lasting
+// TestDowntimeWithinLimit: nobody had added up for how long the waits of one owner can keep a lasting
 // task down, one after the other, and five of them had no bound.
-func TestLastingTasksAreDownForNoLongerThanAllowed(t *testing.T) {
+func TestDowntimeWithinLimit(t *testing.T) {
 	service := gateway.PlannerTiming(30*cottonlanding.Second, 900, cottonlanding.Minute)
 	require.NoError(t, driver.CheckDown(service))
 	longer, shorter := service, service
