--- a/internal/policy/blamer/apart.go
+++ b/internal/policy/blamer/apart.go
@@ -3,21 +3,23 @@
 import "github.com/cottonlanding/cottonlanding"
 
 const (
-	// earlyCrashLimit is how many crashes convict a task that was the only suspect of the
-	// last, right after it had begun. One proves nothing: ten others began beside it.
+	// earlyCrashLimit is the number of crashes after which a task is given up if it was the only
+	// suspect of the last one and had just started. One crash proves nothing: ten other runs began at
+	// the same time.
 	earlyCrashLimit = 2
-	// lateCrashLimit is the same for a crash that came later, as those without a culprit do, or while
-	// others crashed.
+	// lateCrashLimit applies instead if the task had not just started, as in crashes without a faulty
+	// task, or if other workers were lost at the same time.
 	lateCrashLimit = 3
-	// massFailureDivisor is the part of the workers, as a divisor, of which more fall silent at the same time
-	// where something is amiss that may have hit any of them.
+	// massFailureDivisor sets the part of the workers, as a divisor: if more of them stop answering at
+	// the same time, a common fault may have hit any of them.
 	massFailureDivisor = 4
-	// isolationLosses is how many losses without blame make a task run apart: it has few left.
+	// isolationLosses is the number of losses for which a task is isolated even if none was a likely
+	// crash: few more are allowed.
 	isolationLosses = 2
 )
 
-// Isolation has a suspect run apart from all else that begins, so that its next crash tells
-// whether it was the cause, and convicts only those that were alone.
+// Isolation starts a suspect where nothing else begins, so that its next crash shows whether it was
+// the cause, and gives up only tasks that were the sole suspect.
 type Isolation struct{}
 
 // Blames implements cottonlanding.BlamePolicy.
--- a/internal/policy/blamer/blamer.go
+++ b/internal/policy/blamer/blamer.go
@@ -1,4 +1,4 @@
-// Package blamer holds the policies that decide which tasks crash their workers.
+// Package blamer holds the policies that attribute crashes of workers to tasks.
 package blamer
 
 import (
@@ -6,7 +6,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the policy used when none is named.
+// Fallback is the variant that is used when none is configured.
 const Fallback = "fair"
 
 // Catalog holds the variants.
@@ -16,11 +16,11 @@
 	"fair":  func() cottonlanding.BlamePolicy { return Fair{} },
 }
 
-// maxLosses is how many crashes the plain count allows: none is started once more after
-// three, where two more starts would be allowed.
+// maxLosses is the number of losses for which Count gives a task up. The limit for all policies would
+// allow two more.
 const maxLosses = 3
 
-// Count gives up each task under which three workers have crashed, the plain baseline.
+// Count gives up each task under which three workers have crashed. It is the baseline.
 type Count struct{}
 
 // Blames implements cottonlanding.BlamePolicy.
--- a/internal/policy/blamer/blamer_test.go
+++ b/internal/policy/blamer/blamer_test.go
@@ -9,7 +9,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/blamer"
 )
 
-// TestExternalCauses gives crashes as an owner of 24 workers in racks of four sees them.
+// TestExternalCauses guards against tasks that are blamed for outages. Each row is a crash as the
+// owner of 24 workers in racks of four sees it.
 func TestExternalCauses(t *testing.T) {
 	alone := cottonlanding.CrashView{Rack: 3, Workers: 23}
 	for name, c := range map[string]struct {
@@ -17,9 +18,9 @@
 		blames bool
 	}{
 		"one worker alone":           {func(*cottonlanding.CrashView) {}, true},
-		"a wave of culprits":         {func(c *cottonlanding.CrashView) { c.Silent, c.RackSilent = 6, 1 }, true},
-		"one more without a culprit": {func(c *cottonlanding.CrashView) { c.Silent, c.Unprovoked = 1, 1 }, true},
-		"others without a culprit":   {func(c *cottonlanding.CrashView) { c.Silent, c.Unprovoked = 2, 2 }, false},
+		"several faulty tasks":       {func(c *cottonlanding.CrashView) { c.Silent, c.RackSilent = 6, 1 }, true},
+		"another one, unprovoked":    {func(c *cottonlanding.CrashView) { c.Silent, c.Unprovoked = 1, 1 }, true},
+		"two others, unprovoked":     {func(c *cottonlanding.CrashView) { c.Silent, c.Unprovoked = 2, 2 }, false},
 		"a rack":                     {func(c *cottonlanding.CrashView) { c.Silent, c.RackSilent = 3, 3 }, false},
 		"half of all":                {func(c *cottonlanding.CrashView) { c.Silent = 12 }, false},
 		"one of two in a small cell": {func(c *cottonlanding.CrashView) { c.Rack, c.Workers, c.Silent = 2, 2, 1 }, true},
@@ -33,7 +34,8 @@
 	}
 }
 
-// TestGivesUpSoleSuspects goes through what a suspect may be told by.
+// TestGivesUpSoleSuspects guards against tasks that are given up for a crash which another run on the
+// worker, or another fault, may have caused.
 func TestGivesUpSoleSuspects(t *testing.T) {
 	record := func(crashes int) cottonlanding.CrashRecord {
 		return cottonlanding.CrashRecord{Losses: crashes, Crashes: crashes}
@@ -42,14 +44,14 @@
 		suspect cottonlanding.SuspectView
 		givenUp bool
 	}{
-		"first crash":               {cottonlanding.SuspectView{Record: record(1), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true}, false},
-		"second, alone and prompt":  {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true}, true},
-		"second, while others fall": {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true, Crash: cottonlanding.CrashView{Workers: 23, Silent: 6}}, false},
-		"third, while others fall":  {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true, Crash: cottonlanding.CrashView{Workers: 23, Silent: 6}}, true},
-		"second, alone and late":    {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, SoleSuspect: true}, false},
-		"third, alone and late":     {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.LikelyCrash, SoleSuspect: true}, true},
-		"fourth, among others":      {cottonlanding.SuspectView{Record: record(4), Finding: cottonlanding.LikelyCrash, JustStarted: true}, false},
-		"third, not blamed":         {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.PossibleCrash, SoleSuspect: true, JustStarted: true}, false},
+		"first crash":                   {cottonlanding.SuspectView{Record: record(1), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true}, false},
+		"second, alone and early":       {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true}, true},
+		"second, while others are lost": {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true, Crash: cottonlanding.CrashView{Workers: 23, Silent: 6}}, false},
+		"third, while others are lost":  {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.LikelyCrash, SoleSuspect: true, JustStarted: true, Crash: cottonlanding.CrashView{Workers: 23, Silent: 6}}, true},
+		"second, alone and late":        {cottonlanding.SuspectView{Record: record(2), Finding: cottonlanding.LikelyCrash, SoleSuspect: true}, false},
+		"third, alone and late":         {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.LikelyCrash, SoleSuspect: true}, true},
+		"fourth, among others":          {cottonlanding.SuspectView{Record: record(4), Finding: cottonlanding.LikelyCrash, JustStarted: true}, false},
+		"third, no likely crash":        {cottonlanding.SuspectView{Record: record(3), Finding: cottonlanding.PossibleCrash, SoleSuspect: true, JustStarted: true}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, c.givenUp, blamer.Fair{}.GivesUp(c.suspect))
--- a/internal/policy/blamer/fair.go
+++ b/internal/policy/blamer/fair.go
@@ -3,16 +3,17 @@
 import "github.com/cottonlanding/cottonlanding"
 
 const (
-	// minUnprovokedWorkers is how many workers that had begun nothing must fall silent at the
-	// same time for an outer cause to be believed. One may be any fault.
+	// minUnprovokedWorkers is how many workers that had started nothing must stop answering at the
+	// same time for an external cause to be assumed. A single one may have any fault.
 	minUnprovokedWorkers = 2
-	// minSilentWorkers is how many workers must fall silent together for half of all to mean
-	// anything: a small cell has few.
+	// minSilentWorkers is how many workers must stop answering at the same time for half of all to be
+	// significant: a small cell has few workers.
 	minSilentWorkers = 2
 )
 
-// Fair is Apart, but for losses with an outer cause, which count against nobody: workers
-// without a culprit fall silent at the same time, a whole rack does, or half of all do.
+// Fair is Isolation, except that losses with an external cause count against no task: workers that had
+// started nothing stop answering at the same time, three quarters of a rack do, or half of all workers
+// do.
 type Fair struct{ Isolation }
 
 // Blames implements cottonlanding.BlamePolicy.
--- a/internal/policy/cataloger/catalog.go
+++ b/internal/policy/cataloger/catalog.go
@@ -1,4 +1,4 @@
-// Package cataloger keeps the variants of a policy by name.
+// Package cataloger holds the variants of a policy by name.
 package cataloger
 
 import (
@@ -9,7 +9,7 @@
 // Catalog holds a constructor for each variant of a policy.
 type Catalog[Policy any] map[string]func() Policy
 
-// Get returns a fresh policy of that name, and whether there is one.
+// Get returns a new policy of that name, and whether there is one.
 func (c Catalog[Policy]) Get(name string) (Policy, bool) {
 	create, found := c[name]
 	if !found {
--- a/internal/policy/delegator/delegator.go
+++ b/internal/policy/delegator/delegator.go
@@ -1,8 +1,8 @@
 // Package delegator holds the policies that decide which cell runs a lasting task for which its own
 // cell has no room.
 //
-// Their load is cells that lasting tasks fill unevenly: one is full, others have hundreds of free
-// processors, and a worker of the full one is lost for good.
+// They are made for cells that lasting tasks fill unevenly: one is full while others have hundreds of
+// free processors, and the full one loses a worker for good.
 package delegator
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the policy used when none is named.
+// Fallback is the variant that is used when none is configured.
 const Fallback = "byroom"
 
 // Catalog holds the variants.
@@ -23,8 +23,9 @@
 	"never":  func() cottonlanding.DelegationPolicy { return Never{} },
 }
 
-// ByRoom draws a cell by how much room it has, so that what several full cells delegate at the same
-// time doesn't all go to one. The draw follows from the task, so that decisions repeat.
+// ByRoom draws a cell with its free capacity as the weight, so that tasks which several full cells
+// delegate at the same time don't all go to one cell. The draw is a hash of the task, so that
+// decisions are reproducible.
 type ByRoom struct{}
 
 // Delegate implements cottonlanding.DelegationPolicy.
@@ -45,7 +46,7 @@
 	return 0, false
 }
 
-// Never leaves each task in its own cell, the plain baseline.
+// Never leaves each task in its own cell. It is the baseline.
 type Never struct{}
 
 // Delegate implements cottonlanding.DelegationPolicy.
--- a/internal/policy/delegator/delegator_test.go
+++ b/internal/policy/delegator/delegator_test.go
@@ -9,8 +9,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/delegator"
 )
 
-// TestDelegatesByFreeCapacity has a full cell delegate what a rack has lost, beside cells with much room, with
-// little and with none.
+// TestDelegatesByFreeCapacity guards against delegating all tasks of a lost rack to one cell, or some
+// to a full one. A full cell delegates to cells with much room, with little and with none.
 func TestDelegatesByFreeCapacity(t *testing.T) {
 	const tasks = 400
 	cells := []cottonlanding.CellView{{Cell: 1, Usable: true, Free: 0.6}, {Cell: 2, Usable: true, Free: 0.2}, {Cell: 3, Usable: true, Free: -0.1}}
@@ -20,7 +20,7 @@
 		to, found := delegator.ByRoom{}.Delegate(task, cells)
 		require.True(t, found)
 		again, _ := delegator.ByRoom{}.Delegate(task, cells)
-		require.Equal(t, to, again, "decisions repeat")
+		require.Equal(t, to, again, "decisions are reproducible")
 		got[to]++
 	}
 	require.Zero(t, got[3])
--- a/internal/policy/evictor/evictor.go
+++ b/internal/policy/evictor/evictor.go
@@ -1,4 +1,4 @@
-// Package evictor holds the eviction policies and their registry.
+// Package evictor holds the eviction policies.
 package evictor
 
 import (
@@ -6,7 +6,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the policy used when operators name none.
+// Fallback is the variant that is used when operators name none.
 const Fallback = "leastlost"
 
 // Catalog holds the variants.
--- a/internal/policy/evictor/leastlost.go
+++ b/internal/policy/evictor/leastlost.go
@@ -7,8 +7,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// LeastLost evicts first the task that would lose the least processor time, and
-// among equals the one that was evicted the least often.
+// LeastLost evicts first the task that would lose the least processor time, and among equals the one
+// with the fewest evictions.
 type LeastLost struct{}
 
 // Order implements cottonlanding.EvictionPolicy.
--- a/internal/policy/evictor/youngest.go
+++ b/internal/policy/evictor/youngest.go
@@ -7,8 +7,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Youngest evicts first the task that has run for the shortest time, the plain
-// baseline.
+// Youngest evicts first the task that has run for the shortest time. It is the baseline.
 type Youngest struct{}
 
 // Order implements cottonlanding.EvictionPolicy.
--- a/internal/policy/mixer/mixer.go
+++ b/internal/policy/mixer/mixer.go
@@ -1,5 +1,5 @@
-// Package mixer holds the policies that pick the workers on which serving tasks of
-// several images come together.
+// Package mixer holds the policies that pick the workers on which serving tasks of several images are
+// combined.
 package mixer
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the policy used when none is named.
+// Fallback is the variant that is used when none is configured.
 const Fallback = "leastlost"
 
 // Catalog holds the variants.
@@ -16,7 +16,7 @@
 	"leastlost": func() cottonlanding.MixingPolicy { return LeastLost{} },
 }
 
-// Anywhere leaves the choice among all workers, the plain baseline.
+// Anywhere allows all workers. It is the baseline.
 type Anywhere struct{}
 
 // Narrow implements cottonlanding.MixingPolicy.
@@ -28,11 +28,11 @@
 	return all
 }
 
-// LeastLost keeps the workers that fewest filling images lose. Its load is serving
-// tasks that fill the workers: each image bears some filling images, two together only
-// what both bear, so that a worker with two images is of little use for filling tasks.
-// Where mixing can't be avoided, it falls on workers that are mixed already, or on
-// images that bear the same.
+// LeastLost picks the workers on which the fewest filling images cease to be tolerated. It is made for
+// serving tasks that fill the workers: each image tolerates some filling images, two together only
+// those that both tolerate, so that a worker with two images is of little use for filling tasks. Where
+// images have to be mixed, it picks workers that are mixed already, or images that tolerate the same
+// ones.
 type LeastLost struct{}
 
 // Narrow implements cottonlanding.MixingPolicy.
--- a/internal/policy/orderer/fifo.go
+++ b/internal/policy/orderer/fifo.go
@@ -7,7 +7,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// FIFO places the longest waiting task first, the plain baseline.
+// FIFO places the task first that has waited longest. It is the baseline.
 type FIFO struct{}
 
 // Order implements cottonlanding.AdmissionOrder.
--- a/internal/policy/orderer/leastshare.go
+++ b/internal/policy/orderer/leastshare.go
@@ -7,8 +7,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// LeastShare places the next task of the team that holds the least processor
-// capacity for its weight, counting the tasks that it has already put in front.
+// LeastShare places next a task of the team that holds the least processor capacity for its weight,
+// including the team's tasks that come earlier in the order.
 type LeastShare struct{}
 
 // Order implements cottonlanding.AdmissionOrder.
@@ -30,6 +30,7 @@
 	})
 }
 
+// positiveWeight returns the declared weight, or 1 if none is declared.
 func positiveWeight(declared float64) float64 {
 	if declared <= 0 {
 		return 1
--- a/internal/policy/orderer/orderer.go
+++ b/internal/policy/orderer/orderer.go
@@ -1,4 +1,4 @@
-// Package orderer holds the admission orders and their registry.
+// Package orderer holds the admission policies.
 package orderer
 
 import (
@@ -6,7 +6,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the order used when operators name none.
+// Fallback is the variant that is used when operators name none.
 const Fallback = "fifo"
 
 // Catalog holds the variants.
--- a/internal/policy/placer/firstfit.go
+++ b/internal/policy/placer/firstfit.go
@@ -2,7 +2,7 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// FirstFit picks the first worker, the plain baseline.
+// FirstFit picks the first worker. It is the baseline.
 type FirstFit struct{}
 
 // Place implements cottonlanding.PlacementPolicy.
--- a/internal/policy/placer/pack.go
+++ b/internal/policy/placer/pack.go
@@ -2,11 +2,10 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// Pack picks the worker of whose processors the smallest share is free, counting the
-// task's own as free once more: large workers go before small ones with as little room.
-// Its load is workers that lasting tasks fill almost, with small rooms everywhere: spread
-// short tasks take the largest of those, and none is left for a large one. Plain best fit,
-// by what would be left, does less well (docs/EXPERIMENTS.md).
+// Pack picks the worker with the smallest share of free processors, counting the task's own as free
+// once more: large workers go before small ones with as little room. It is made for workers that
+// lasting tasks almost fill, with little room on each: spread short tasks take the largest of it, and
+// none is left for a large task. Best fit by what would be left does less well (docs/EXPERIMENTS.md).
 type Pack struct{}
 
 // Place implements cottonlanding.PlacementPolicy.
--- a/internal/policy/placer/pack_test.go
+++ b/internal/policy/placer/pack_test.go
@@ -9,7 +9,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/placer"
 )
 
-// workers returns views of workers of 64 cores, or 96 for every third, with some free.
+// workers returns workers of 64 cores, every third of 96, with the given free processors.
 func workers(free ...cottonlanding.Millicores) []cottonlanding.WorkerView {
 	var out []cottonlanding.WorkerView
 	for i, cpu := range free {
@@ -22,7 +22,8 @@
 	return out
 }
 
-// largestFreeAfter places tasks one after the other where they fit, and returns the largest room largestFreeAfter.
+// largestFreeAfter places tasks one by one where they fit, and returns the largest free capacity of a
+// worker afterwards.
 func largestFreeAfter(policy cottonlanding.PlacementPolicy, views []cottonlanding.WorkerView, tasks int, cpu cottonlanding.Millicores) cottonlanding.Millicores {
 	task := cottonlanding.TaskView{Resources: cottonlanding.Resources{CPU: cpu}}
 	for range tasks {
@@ -42,14 +43,17 @@
 	return largest
 }
 
-// TestPackLimitsFragmentation plays workers with 2 to 14 free cores, as lasting tasks leave
-// them, and short tasks of 3 cores: a task of 12 cores still finds its room.
+// TestPackLimitsFragmentation guards against short tasks that fragment the free capacity. Workers have
+// 2 to 14 cores free beside lasting tasks; with five short tasks of 3 cores placed, a task of 12 cores
+// still fits.
 func TestPackLimitsFragmentation(t *testing.T) {
 	free := []cottonlanding.Millicores{4000, 6000, 13_000, 3500, 14_000, 5000, 2000, 6500}
 	require.GreaterOrEqual(t, largestFreeAfter(placer.Pack{}, workers(free...), 5, 3000), cottonlanding.Millicores(12_000))
-	require.Less(t, largestFreeAfter(placer.Spread{}, workers(free...), 5, 3000), cottonlanding.Millicores(12_000), "the baseline breaks all")
+	require.Less(t, largestFreeAfter(placer.Spread{}, workers(free...), 5, 3000), cottonlanding.Millicores(12_000), "Spread fragments all of it")
 }
 
+// TestPackPrefersLargeWorkers guards against filling a small worker before a large one with as much
+// room.
 func TestPackPrefersLargeWorkers(t *testing.T) {
 	require.Equal(t, 2, placer.Pack{}.Place(cottonlanding.TaskView{Resources: cottonlanding.Resources{CPU: 13_000}}, workers(20_000, 20_000, 20_000)))
 }
--- a/internal/policy/placer/placer.go
+++ b/internal/policy/placer/placer.go
@@ -1,4 +1,4 @@
-// Package placer holds the placement policies and their registry.
+// Package placer holds the placement policies.
 package placer
 
 import (
@@ -6,7 +6,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the policy used when operators name none.
+// Fallback is the variant that is used when operators name none.
 const Fallback = "spread"
 
 // Catalog holds the variants.
--- a/internal/policy/placer/spread.go
+++ b/internal/policy/placer/spread.go
@@ -2,7 +2,7 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// Spread picks the worker whose fullest resource would be the least full.
+// Spread picks the worker whose most used resource would be the least used.
 type Spread struct{}
 
 // Place implements cottonlanding.PlacementPolicy.
@@ -18,7 +18,7 @@
 	return best
 }
 
-// maxUtilization returns the highest share of any resource that is in use.
+// maxUtilization returns the largest share of any resource that is in use.
 func maxUtilization(used, capacity cottonlanding.Resources) float64 {
 	return max(
 		ratio(int64(used.CPU), int64(capacity.CPU)),
--- a/internal/policy/ranker/ranker.go
+++ b/internal/policy/ranker/ranker.go
@@ -1,8 +1,8 @@
 // Package ranker holds the policies that order the workflows that wait for room.
 //
-// Their load is more work than there is room for, for seconds or all day: the work asked for is
-// 1.0 to 1.4 times what the workers can do, in workflows whose work differs by a factor of
-// twenty. Served in the order in which they come, all are begun and most are late.
+// They are made for overload, for seconds or all day: the requested work is 1.0 to 1.4 times what the
+// workers can do, in workflows whose work differs by a factor of twenty. In order of arrival all of
+// them are started, and most are late.
 package ranker
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the policy used when none is named.
+// Fallback is the variant that is used when none is configured.
 const Fallback = "worth"
 
 // Catalog holds the variants.
@@ -22,16 +22,16 @@
 
 // The classes, in the order in which they are served.
 const (
-	// inTime workflows can still be done in their time if nothing holds them up.
+	// inTime workflows can still meet their objective if nothing delays them.
 	inTime = iota
-	// late ones can't, and are still of some use.
+	// late workflows can't, and are still of some use.
 	late
-	// expired ones are of none; they are done with what is left.
+	// expired workflows are of no use; they get what is left.
 	expired
 )
 
-// expiredFactor is how many times its objective a workflow may take to be of any use. Source:
-// the users count nothing that takes longer.
+// expiredFactor times its objective is the longest time after which a workflow is of any use: users
+// count nothing that takes longer.
 const expiredFactor = 3
 
 func classOf(view cottonlanding.RankView) int {
@@ -44,8 +44,7 @@
 	return expired
 }
 
-// Arrival serves workflows in the order in which they came, but those that are late last,
-// the plain baseline.
+// Arrival serves workflows in order of arrival, but late ones last. It is the baseline.
 type Arrival struct{}
 
 // Rank implements cottonlanding.RankingPolicy.
@@ -53,8 +52,8 @@
 	return cottonlanding.Rank{Class: min(classOf(view), late)}
 }
 
-// LeastLeft serves those first of which the least work is left: the most workflows are done
-// in their time, at the cost of the large ones.
+// LeastLeft serves workflows with the least work left first. It completes the most workflows in time,
+// at the expense of the large ones.
 type LeastLeft struct{}
 
 // Rank implements cottonlanding.RankingPolicy.
@@ -62,19 +61,19 @@
 	return cottonlanding.Rank{Class: classOf(view), Score: view.Left}
 }
 
-// The worth of a workflow, in parts of that of the mean one of its queue. Source: what the
-// users say of theirs.
+// The worth of a workflow, relative to the mean workflow of its queue, as users state it.
 const (
-	// baseWorth is that of any workflow, workWorth that of the mean work.
+	// baseWorth is the worth of any workflow, meanWorkWorth the additional worth of the mean amount of
+	// work.
 	baseWorth     = 0.3
 	meanWorkWorth = 0.7
 	// maxWorth bounds the sum.
 	maxWorth = 4
 )
 
-// Worth serves those first that are worth the most for the work that is left of them. What
-// was begun is finished before more is begun, and large workflows, which are worth more, are
-// passed over less often than by LeastLeft. Where there is room for all, the three are alike.
+// Worth serves workflows with the most worth for the work that is left first. What was started is
+// finished before more is started, and large workflows, which are worth more, are passed over less
+// often than by LeastLeft. Where there is room for all, the three policies are alike.
 type Worth struct{}
 
 // Rank implements cottonlanding.RankingPolicy.
--- a/internal/policy/ranker/ranker_test.go
+++ b/internal/policy/ranker/ranker_test.go
@@ -17,20 +17,20 @@
 type workflow struct {
 	arrivedAt  cottonlanding.Millis
 	work, left float64
-	// delay is how much longer it takes than its estimates say: until its last task, which
-	// had to be moved or run again, is done.
+	// delay is by how much the workflow exceeds its estimates, until its last task, which had to be
+	// moved or rerun, is done.
 	delay  cottonlanding.Millis
 	doneAt cottonlanding.Millis
 }
 
 const (
-	// processors serve a workflow with up to width of them at a time, each step takes span.
+	// processors serve a workflow with up to width of them at a time, for one tick after the other.
 	processors = 1000
 	width      = 20
 	tick       = 100 * cottonlanding.Millis(1)
 	meanWork   = width * 2200.0
 	maxDelay   = 4 * cottonlanding.Second
-	// An objective is stretch times the chain of work, and target more.
+	// The objective is stretch times the chain of work, plus target.
 	stretch   = 2
 	target    = 6 * cottonlanding.Second
 	dayLength = 60 * cottonlanding.Second
@@ -40,8 +40,8 @@
 	return stretch*cottonlanding.Millis(w.work/width) + target
 }
 
-// overload returns the workflows of a day that ask for load times what the processors can do,
-// of sizes that differ as those of the users do: log-normal, by a factor of 2 either way.
+// overload returns the workflows of a day that request load times the capacity. Their sizes are
+// distributed as those of users: log-normally, by a factor of 2 either way.
 func overload(load float64) []*workflow {
 	random := rand.New(rand.NewPCG(1, 2))
 	var out []*workflow
@@ -52,8 +52,8 @@
 	return out
 }
 
-// simulate plays a day by a policy, and returns which part of the worth was done in its time, and
-// the same of the largest tenth.
+// simulate runs a day under a policy, and returns the share of the worth that was completed in time,
+// of all workflows and of the largest tenth.
 func simulate(policy cottonlanding.RankingPolicy, day []*workflow) (all, largest float64) {
 	for now := cottonlanding.Millis(0); now < 3*dayLength; now += tick {
 		var open []*workflow
@@ -85,6 +85,8 @@
 	return worthInTime(day), worthInTime(day[:len(day)/10])
 }
 
+// worthInTime returns the share of the worth of the workflows that was completed within their
+// objectives.
 func worthInTime(day []*workflow) float64 {
 	sum, most := 0.0, 0.0
 	for _, w := range day {
@@ -97,10 +99,10 @@
 	return sum / most
 }
 
-// TestWorthUnderOverload: with a third as much work again as can be done, serving in the
-// order of arrival begins each workflow when its estimates leave it no slack, so that whatever
-// holds it up makes it late. By worth more is done in its time, and the largest workflows aren't
-// given up for it as they are by least work left.
+// TestWorthUnderOverload guards against an order that starts each workflow when its estimates leave it
+// no slack, so that any delay makes it late. Order of arrival does so with a third more work than can
+// be done; Worth completes more in time, and doesn't give up the largest workflows for it as LeastLeft
+// does.
 func TestWorthUnderOverload(t *testing.T) {
 	arrival, _ := simulate(ranker.Arrival{}, overload(1.33))
 	left, largestLeft := simulate(ranker.LeastLeft{}, overload(1.33))
@@ -111,7 +113,7 @@
 	require.GreaterOrEqual(t, largestWorth, largestLeft)
 }
 
-// TestLightLoadMeetsObjectives: the policies are alike where nothing has to wait.
+// TestLightLoadMeetsObjectives guards against a policy that delays workflows where none has to wait.
 func TestLightLoadMeetsObjectives(t *testing.T) {
 	for _, name := range ranker.Catalog.Names() {
 		policy, _ := ranker.Catalog.Get(name)
@@ -121,8 +123,8 @@
 	}
 }
 
-// TestExpiredRankLast: what is of no use any more comes after what is late, and that after what can
-// still be done in its time, by every policy but the baseline, which knows late ones alone.
+// TestExpiredRankLast guards against serving workflows that are of no use before others: expired ones
+// come after late ones, and these after those in time. The baseline distinguishes only late ones.
 func TestExpiredRankLast(t *testing.T) {
 	const objective = 10 * cottonlanding.Second
 	at := func(age cottonlanding.Millis) cottonlanding.RankView {
--- a/internal/policy/referrer/byimage.go
+++ b/internal/policy/referrer/byimage.go
@@ -9,16 +9,16 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// minFree is the part of a cell's processors that serving workflows leave free as long as
-// another cell has as much. Short tasks use a tenth; and where serving tasks hold more than
-// four fifths, images meet on most workers: 0 to 57 of 220 at 63 to 80 %, 150 at 92 %.
+// minFree is the fraction of a cell's processors that serving workflows leave free as long as another
+// cell has as much. Short tasks use a tenth; and where serving tasks hold more than four fifths, most
+// workers get several images: 0 to 57 of 220 at 63 to 80 %, 150 at 92 %.
 const minFree = 0.22
 
-// ByImage keeps the serving workflows of one image in one cell while that has room, and
-// refers all others by room. Its load is sixteen serving images whose tasks fill four
-// fifths of the workers, beside thirty filling ones: where a cell has all sixteen, bounds on
-// tasks a worker mix them on its workers, of which few then bear a filling image, and it
-// has 480 pairs to learn; where it has three, a hundred.
+// ByImage gathers the serving workflows of one image in one cell while that has room, and refers all
+// others by room. It is made for sixteen serving images whose tasks fill four fifths of the workers,
+// beside thirty filling ones: in a cell with all sixteen, bounds on the tasks of a worker mix them on
+// its workers, of which few then tolerate a filling image, and the cell has 480 pairs to learn; a cell
+// with three of them has a hundred.
 type ByImage struct {
 	others ByRoom
 }
@@ -50,7 +50,7 @@
 	return chosen.Cell, chosen.Cell != home.Cell
 }
 
-// rendezvousHash orders the cells for an image, the same way at every home.
+// rendezvousHash orders the cells for an image, in the same way at every home.
 func rendezvousHash(image cottonlanding.Image, cell cottonlanding.CellNumber) uint64 {
 	return xxhash.Sum64String(string(image) + "@" + cell.String())
 }
--- a/internal/policy/referrer/byroom.go
+++ b/internal/policy/referrer/byroom.go
@@ -8,19 +8,19 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// minAdvantage is how much more room another cell must have, as a part of its workers. What is
-// known of others is half a second old, in which work for about as much comes and goes.
+// minAdvantage is how much more room another cell must have, as a fraction of its processors. Reports
+// of other cells are half a second old, in which work for about as much comes and goes.
 const minAdvantage = 0.05
 
-// ByRoom refers workflows to cells with more room than their home. Its load is lasting
-// workflows that fill four fifths of the workers: by their ids alone, a fifth more of them
-// fall on one cell than on another, so that one is full and one half empty. It is also a
-// home whose workers are all out of reach.
+// ByRoom refers workflows to cells with more room than their home. It is made for lasting workflows
+// that fill four fifths of the workers: by their ids alone, a fifth more of them fall on one cell than
+// on another, so that one is full and one half empty. It also serves a home whose workers are all
+// unreachable.
 type ByRoom struct{}
 
-// Refer implements cottonlanding.ReferralPolicy. Cells are drawn by how much more room
-// they have, so that not all that comes at once goes to the same; the draw follows from
-// the workflow's id, so that decisions repeat.
+// Refer implements cottonlanding.ReferralPolicy. It draws a cell with the additional room as the
+// weight, so that workflows that arrive together don't all go to one cell. The draw is a hash of the
+// workflow's id, so that decisions are reproducible.
 func (ByRoom) Refer(workflow cottonlanding.Workflow, home cottonlanding.CellView, others []cottonlanding.CellView) (cottonlanding.CellNumber, bool) {
 	weights, sum := make([]float64, len(others)), 0.0
 	for at, other := range others {
@@ -44,7 +44,7 @@
 	return 0, false
 }
 
-// roomFor returns the room of a cell for a workflow's kind of tasks.
+// roomFor returns the free capacity of a cell for the kind of tasks of a workflow.
 func roomFor(workflow cottonlanding.Workflow, view cottonlanding.CellView) float64 {
 	for _, step := range workflow.Steps {
 		if step.Fills {
--- a/internal/policy/referrer/referrer.go
+++ b/internal/policy/referrer/referrer.go
@@ -1,4 +1,4 @@
-// Package referrer holds the policies that decide which cell keeps a workflow.
+// Package referrer holds the policies that decide in which cell a workflow runs.
 package referrer
 
 import (
@@ -6,7 +6,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the policy used when none is named.
+// Fallback is the variant that is used when none is configured.
 const Fallback = "byimage"
 
 // Catalog holds the variants.
@@ -16,7 +16,7 @@
 	"never":   func() cottonlanding.ReferralPolicy { return Never{} },
 }
 
-// Never leaves each workflow where it was handed in, the plain baseline.
+// Never leaves each workflow in the cell where it was submitted. It is the baseline.
 type Never struct{}
 
 // Refer implements cottonlanding.ReferralPolicy.
--- a/internal/policy/referrer/referrer_test.go
+++ b/internal/policy/referrer/referrer_test.go
@@ -20,7 +20,7 @@
 	jobCores = 24 * 6.4
 )
 
-// fleet is cells of equal size with what each of them serves.
+// fleet is a set of cells of equal size with what each of them serves.
 type fleet struct {
 	used   [cells]float64
 	images [cells]map[cottonlanding.Image]bool
@@ -34,7 +34,7 @@
 	return f
 }
 
-// views returns what is known of all cells when the last jobs aren't told of yet.
+// views returns what is known of all cells by the last reports, which lack the latest jobs.
 func (f *fleet) views(reported [cells]float64) []cottonlanding.CellView {
 	var out []cottonlanding.CellView
 	for cell := range cells {
@@ -43,8 +43,8 @@
 	return out
 }
 
-// fill hands in serving workflows one after the other, each at the home that its number
-// draws. Reports are as old as ten workflows; a home knows of its own referrals.
+// fill submits serving workflows one by one, each at a random home. Reports are renewed every ten
+// workflows.
 func (f *fleet) fill(policy cottonlanding.ReferralPolicy) {
 	random := rand.New(rand.NewSource(1))
 	var reported [cells]float64
@@ -85,9 +85,9 @@
 	return float64(sum) / cells
 }
 
-// TestByImageGroupsImages fills five cells to four fifths with sixteen images: by
-// ids alone some cell is too full; by room none is; by image none is either, and a cell
-// has half of the images.
+// TestByImageGroupsImages guards against cells that are too full or have too many images. Five cells
+// are filled to four fifths with sixteen images: by ids alone one cell is too full, by room and by
+// image none is, and by image a cell has far fewer images.
 func TestByImageGroupsImages(t *testing.T) {
 	never, byRoom, byImage := newFleet(), newFleet(), newFleet()
 	never.fill(referrer.Never{})
@@ -101,8 +101,8 @@
 	require.Less(t, byImage.imagesPerCell(), 0.6*byRoom.imagesPerCell())
 }
 
-// TestUnusableHomeRefersAll plays a home whose data centre is cut off: its new owner
-// reaches no worker, and all that comes goes to the others, to each of them some.
+// TestUnusableHomeRefersAll guards against workflows that stay in a cell whose owner reaches no
+// worker, such as one in a partitioned data centre. All go to other usable cells, some to each.
 func TestUnusableHomeRefersAll(t *testing.T) {
 	home := cottonlanding.CellView{Cell: 0}
 	others := []cottonlanding.CellView{{Cell: 1, Usable: true, Spare: 0.1}, {Cell: 2, Usable: true, Spare: 0.3}, {Cell: 3}}
@@ -113,11 +113,12 @@
 		require.True(t, found)
 		got[to]++
 	}
-	require.Zero(t, got[3], "it can't be used")
+	require.Zero(t, got[3], "an unusable cell")
 	require.Greater(t, got[2], got[1])
 	require.Positive(t, got[1])
 }
 
+// TestByRoomPrefersHome guards against referrals for less additional room than the reports are off by.
 func TestByRoomPrefersHome(t *testing.T) {
 	home := cottonlanding.CellView{Cell: 0, Usable: true, Free: 0.3, Spare: 0.3}
 	others := []cottonlanding.CellView{{Cell: 1, Usable: true, Free: 0.33, Spare: 0.34}}
--- a/internal/policy/selector/golden_test.go
+++ b/internal/policy/selector/golden_test.go
@@ -20,8 +20,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/weigher"
 )
 
-// TestGoldenDecisions guards against another name of a decision or of its variants, and against
-// a name that stands for another policy.
+// TestGoldenDecisions guards against another name of a decision or of a variant, and against a name
+// that selects another policy.
 func TestGoldenDecisions(t *testing.T) {
 	placements := map[string]any{"pack": placer.Pack{}, "firstfit": placer.FirstFit{}, "spread": placer.Spread{}}
 	names := ""
@@ -67,7 +67,7 @@
 	transcriber.RequireFile(t, "decisions.txt", names+err.Error()+"\n")
 }
 
-// TestGoldenCatalogs guards against another name of the policies that the operators' file names.
+// TestGoldenCatalogs guards against other names of the policies in the operators' configuration file.
 func TestGoldenCatalogs(t *testing.T) {
 	require.Equal(t, []string{"firstfit", "pack", "spread"}, placer.Catalog.Names())
 	require.Equal(t, []string{"leastlost", "youngest"}, evictor.Catalog.Names())
--- a/internal/policy/selector/selector.go
+++ b/internal/policy/selector/selector.go
@@ -20,11 +20,10 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// Names gives the variant of each decision by the decision's name. A decision that is
-// left out has its fallback.
+// Names maps decisions to the names of their variants. A decision that is left out uses its fallback.
 type Names map[string]string
 
-// UnmarshalYAML reads the names and checks that each of them is known.
+// UnmarshalYAML reads the names and refuses unknown ones.
 func (n *Names) UnmarshalYAML(unmarshal func(any) error) error {
 	var names map[string]string
 	if err := unmarshal(&names); err != nil {
@@ -38,11 +37,12 @@
 // Set holds the policies of a host.
 type Set struct {
 	Planner planner.Policy
-	// Referral decides which cell keeps a workflow.
+	// Referral decides in which cell a workflow runs.
 	Referral cottonlanding.ReferralPolicy
-	// UsesTableCopy says that hosts which own nothing read what operators write from a copy.
+	// UsesTableCopy says that hosts which own no cell read the operators' table from another host's
+	// copy.
 	UsesTableCopy bool
-	// Reclaim says that a host takes what an earlier life of its own held at once.
+	// Reclaim says that a restarted host takes over at once what its previous life owned.
 	Reclaim bool
 }
 
@@ -52,7 +52,7 @@
 	"silence": func() bool { return false },
 }
 
-// silenceVariants are the variants of what is taken for silent.
+// silenceVariants are the variants of what is watched for silence: data centres, or workers alone.
 var silenceVariants = cataloger.Catalog[bool]{
 	"place":  func() bool { return true },
 	"worker": func() bool { return false },
@@ -64,13 +64,13 @@
 	"never":      func() bool { return false },
 }
 
-// tableSourceVariants are the variants of where hosts that own nothing read what operators write.
+// tableSourceVariants are the variants of where hosts that own no cell read the operators' table.
 var tableSourceVariants = cataloger.Catalog[bool]{
 	"copy":  func() bool { return true },
 	"table": func() bool { return false },
 }
 
-// New returns the policies of the names. The error tells of all names that are not known.
+// New returns the policies with the given names. The error reports all unknown names.
 func New(names Names) (Set, error) {
 	s := &selection{names: names}
 	set := Set{
@@ -103,15 +103,15 @@
 	return set
 }
 
-// selection notes what was asked of the names.
+// selection records the known decisions and the errors while names are resolved.
 type selection struct {
 	names Names
 	known []string
 	errs  []error
 }
 
-// choose returns the constructor of a decision's variant, or of its fallback if the
-// variant isn't known.
+// choose returns the constructor of a decision's variant, or of its fallback if the variant is
+// unknown.
 func choose[Policy any](s *selection, decision string, catalog cataloger.Catalog[Policy], fallback string) func() Policy {
 	s.known = append(s.known, decision)
 	name, given := s.names[decision]
@@ -126,7 +126,7 @@
 	return create
 }
 
-// checkUnknown tells of names that are no decision.
+// checkUnknown records an error for each name that is not a decision.
 func (s *selection) checkUnknown() {
 	for _, name := range slices.Sorted(maps.Keys(s.names)) {
 		if !slices.Contains(s.known, name) {
--- a/internal/policy/selector/selector_test.go
+++ b/internal/policy/selector/selector_test.go
@@ -11,16 +11,19 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/weigher"
 )
 
+// TestNamesChoosePolicies guards against names that select nothing, and against changes to decisions
+// that aren't named.
 func TestNamesChoosePolicies(t *testing.T) {
 	set, err := selector.New(selector.Names{"ShortPlacement": "spread", "Disturbance": "cautious", "TakeOver": "silence"})
 	require.NoError(t, err)
 	require.Equal(t, placer.Spread{}, set.Planner.ShortPlacement)
 	require.Equal(t, weigher.Cautious{}, set.Planner.Disturbance)
-	require.Equal(t, mixer.LeastLost{}, set.Planner.Mixing, "what isn't named has its fallback")
+	require.Equal(t, mixer.LeastLost{}, set.Planner.Mixing, "a decision that isn't named uses its fallback")
 	require.False(t, set.Reclaim)
 	require.True(t, selector.Default().Reclaim)
 }
 
+// TestUnknownNames guards against misspelt names in the settings that are ignored.
 func TestUnknownNames(t *testing.T) {
 	_, err := selector.New(selector.Names{"Mixing": "never", "Colour": "red"})
 	require.ErrorContains(t, err, `Mixing: "never" is none of anywhere, leastlost`)
--- a/internal/policy/weigher/weigher.go
+++ b/internal/policy/weigher/weigher.go
@@ -1,5 +1,5 @@
-// Package weigher holds the policies that decide what is assumed of how much a filling
-// image disturbs a serving one.
+// Package weigher holds the policies that decide how much interference of a filling image with a
+// serving one is assumed.
 package weigher
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the policy used when none is named.
+// Fallback is the variant that is used when none is configured.
 const Fallback = "trials"
 
 // Catalog holds the variants.
@@ -16,12 +16,11 @@
 	"trials":   func() cottonlanding.DisturbancePolicy { return Trials{} },
 }
 
-// cautionFactor is how many standard errors are added to a weight before it is relied on.
-// Source: plays on the users' platform; more left workers idle, less pushed serving
-// tasks over their target.
+// cautionFactor is the number of standard errors that are added to a weight before it is relied on. A
+// larger one leaves workers idle, a smaller one lets serving tasks exceed their latency targets.
 const cautionFactor = 0.7
 
-// Cautious takes a pair that isn't known for one that disturbs much, the plain baseline.
+// Cautious assumes that an unknown pair disturbs much. It is the baseline.
 type Cautious struct{}
 
 // Weight implements cottonlanding.DisturbancePolicy.
