--- a/blame.go
+++ b/blame.go
@@ -1,52 +1,54 @@
 package cottonlanding
 
-// CrashRecord is what is kept of a task about workers that were lost while they ran it.
+// CrashRecord counts the losses of workers that are held against a task.
 type CrashRecord struct {
-	// Losses counts the lives of workers that ended and that the task may have ended.
+	// Losses counts the lives of workers whose end the task may have caused.
 	Losses int
-	// Crashes counts those among them of which the task is the likely cause.
+	// Crashes counts those of the losses of which the task is the likely cause.
 	Crashes int
 }
 
-// RunLoss is what an owner knows of a run that was lost with a worker.
+// RunLoss describes, as far as the owner of the cell knows, a run that was lost with its worker.
 type RunLoss struct {
-	// LifeEnded says that another life was seen in the place of the one that had the run, or that its
-	// entry was gone for good. A lease that ran out says only that owner and worker didn't reach each
+	// LifeEnded says that another life was seen in place of the one that had the run, or that its
+	// entry was gone for good. An expired lease shows only that owner and worker could not reach each
 	// other.
 	LifeEnded bool
-	// Answered says that this owner had answers of the life, so that it knows when it fell silent.
+	// Answered says that this owner received answers of that life, so that it knows when the life
+	// stopped answering.
 	Answered bool
-	// StartConfirmed says that the worker told that it had begun the run: a start without an answer may never
+	// StartConfirmed says that the worker confirmed the start. A start without an answer may never
 	// have reached it.
 	StartConfirmed bool
-	// Recent says that the run began soon before the end, or that it may have.
+	// Recent says that the run began shortly before the end, or may have.
 	Recent bool
-	// Outlived says that the worker listed the run for longer than a task needs that crashes the
-	// worker as it starts.
+	// Outlived says that the worker listed the run for longer than a task takes that crashes its
+	// worker at the start.
 	Outlived bool
 	// StandsOut says that the run is one of the few that had just begun, or the only recent one.
 	StandsOut bool
-	// Unstable says that the worker has ended lately without the task, or, for all that this owner
-	// knows, may have; or that it did so with the task, which the end of one worker twice doesn't prove.
+	// Unstable says that the worker has ended recently without the task or, as far as this owner
+	// knows, may have; or that it did so with the task, since the end of one worker twice doesn't
+	// prove anything.
 	Unstable bool
-	// Young says that the life had not gone on for long.
+	// Young says that the life had lasted only for a short time.
 	Young bool
-	// Leaving says that the life was about to end anyway.
+	// Leaving says that the life was about to end in any case.
 	Leaving bool
-	// ExternalCause says that the policy finds a cause that has nothing to do with the task.
+	// ExternalCause says that the policy finds a cause unrelated to the task.
 	ExternalCause bool
 }
 
-// Finding is what the loss of a run says of its task.
+// Finding says how strongly the loss of a run points to its task.
 type Finding int
 
 // The findings, weakest first.
 const (
-	// NoProof says nothing against the task.
+	// NoProof means that nothing points to the task.
 	NoProof Finding = iota
 	// PossibleCrash means that the task may have crashed the worker, as may others.
 	PossibleCrash
-	// LikelyCrash means that nothing but the task is known that may have crashed the worker.
+	// LikelyCrash means that no cause but the task is known.
 	LikelyCrash
 )
 
@@ -55,7 +57,8 @@
 // String returns the finding's name.
 func (f Finding) String() string { return findingNames[f] }
 
-// Finding decides what the loss proves. One loss never convicts; a policy and a bound say how many do.
+// Finding returns what the loss proves. No task is given up for a single loss; a policy and a limit
+// decide after how many.
 func (l RunLoss) Finding() Finding {
 	unexplained := l.Answered && !l.Unstable && !l.Leaving && !l.ExternalCause && !(l.Outlived && l.Young)
 	switch {
@@ -66,43 +69,44 @@
 	case unexplained || !l.Outlived:
 		return PossibleCrash
 	}
-	return NoProof // it was at work there, and the worker had another reason to end
+	return NoProof // the run had outlived its start, and the end has another explanation
 }
 
-// CrashView is what is known of others at the end of a worker's life.
+// CrashView describes the other workers at the end of a worker's life.
 type CrashView struct {
-	// Unprovoked counts the other workers that fell silent at the same time although they
-	// had begun nothing just before.
+	// Unprovoked counts those that stopped answering at the same time although they had started
+	// nothing just before.
 	Unprovoked int
-	// RackSilent of the Rack other workers of its rack fell silent at the same time.
+	// RackSilent of the Rack other workers of the same rack stopped answering at the same time.
 	Rack, RackSilent int
-	// Silent of the Workers that the owner knows beside it fell silent at the same time.
+	// Silent of all the Workers that the owner knows besides this one stopped answering at the same
+	// time.
 	Workers, Silent int
 }
 
-// SuspectView is what is known of a task that a worker ran when its life ended.
+// SuspectView describes a task that ran on a worker when the worker's life ended.
 type SuspectView struct {
-	// Record has this loss in it.
+	// Record includes this loss.
 	Record CrashRecord
 	// Finding is what this loss proves.
 	Finding Finding
-	// SoleSuspect says that no other run there is a suspect.
+	// SoleSuspect says that no other run on the worker is a suspect.
 	SoleSuspect bool
 	// JustStarted says that the run had begun just before.
 	JustStarted bool
-	// Crash is what is known of others at that time.
+	// Crash describes the other workers at that time.
 	Crash CrashView
 }
 
-// BlamePolicy decides which tasks have ended the workers that crashed under them. Nobody
-// tells: a worker that crashes reports nothing, and takes all its runs along.
+// BlamePolicy attributes crashes of workers to tasks. A worker that crashes reports nothing, and all
+// its runs are lost with it.
 type BlamePolicy interface {
-	// Blames reports whether the end of a life may count as a crash of the tasks there: no
+	// Blames reports whether the end of a life may count as a crash of the tasks on the worker: no
 	// other cause is known for it.
 	Blames(crash CrashView) bool
 	// GivesUp reports whether a task is given up after the loss of a worker.
 	GivesUp(suspect SuspectView) bool
-	// Isolates reports whether a task runs where nothing else begins at the same time, so
-	// that a further crash tells whether it was the cause.
+	// Isolates reports whether a task runs on a worker where nothing else begins at the same time, so
+	// that another crash shows whether the task was the cause.
 	Isolates(record CrashRecord) bool
 }
--- a/checkpoint_test.go
+++ b/checkpoint_test.go
@@ -9,8 +9,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestCheckpointIsExact: a run that continues from a text with a piece replaced
-// doesn't continue its task's work.
+// TestCheckpointIsExact guards against runs that continue from a checkpoint in which a piece was
+// replaced, and so don't continue the work of their tasks.
 func TestCheckpointIsExact(t *testing.T) {
 	longest := cottonlanding.Checkpoint(strings.Repeat("c", cottonlanding.MaxCheckpoint))
 	for _, text := range []cottonlanding.Checkpoint{"", "000003e8482de2d0", longest, "<\"\\\x00\u2028\U0001F33E>"} {
--- a/clock.go
+++ b/clock.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Millis is an instant of a Clock, or the span between two, in milliseconds.
+// Millis is an instant of a Clock, or a duration, in milliseconds.
 type Millis int64
 
-// Common spans.
+// Common durations.
 const (
 	Second Millis = 1000
 	Minute        = 60 * Second
 )
 
-// Duration returns the span as the standard library's type.
+// Duration returns the duration as the standard library's type.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// String returns the span the way the settings write it, such as "1.5s".
+// String returns the duration as it is written in settings, such as "1.5s".
 func (m Millis) String() string { return m.Duration().String() }
 
-// UnmarshalYAML reads a span such as "250ms" or "3s". A span is never negative.
+// UnmarshalYAML reads a duration such as "250ms" or "3s". Negative ones are refused.
 func (m *Millis) UnmarshalYAML(unmarshal func(any) error) error {
 	var text string
 	if err := unmarshal(&text); err != nil {
@@ -34,26 +34,25 @@
 	return nil
 }
 
-// MarshalYAML writes the span as text.
+// MarshalYAML writes the duration as text.
 func (m Millis) MarshalYAML() (any, error) { return m.String(), nil }
 
 // FromDuration rounds a standard duration down to whole milliseconds.
 func FromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
-// Clock tells monotonic time in milliseconds. Instants of two clocks are never
-// compared with each other.
+// Clock tells monotonic time in milliseconds. Instants of two clocks can't be compared.
 type Clock struct {
 	now func() Millis
 }
 
-// NewClock returns a clock that starts near zero and follows the process's
-// monotonic time, within a synctest bubble the bubble's.
+// NewClock returns a clock that starts near zero and follows the process's monotonic time, or within a
+// synctest bubble the time of the bubble.
 func NewClock() Clock {
 	start := time.Now()
 	return Clock{now: func() Millis { return FromDuration(time.Since(start)) }}
 }
 
-// ClockOf returns a clock that asks now, for tests that move time by hand.
+// ClockOf returns a clock that reads now; tests use it to control the time.
 func ClockOf(now func() Millis) Clock { return Clock{now: now} }
 
 // Now returns the current instant.
--- a/clock_linux.go
+++ b/clock_linux.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceBoot returns the time since the system started, with the time for which it was
-// suspended, and whether the system tells.
+// sinceBoot returns the time since boot, including the time in which the system was suspended, and
+// whether it is known.
 func sinceBoot() (time.Duration, bool) {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/clock_other.go
+++ b/clock_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// sinceBoot reports that the system doesn't tell for how long it was suspended.
+// sinceBoot reports that the time since boot, including suspensions, isn't known.
 func sinceBoot() (time.Duration, bool) { return 0, false }
--- a/configuration.go
+++ b/configuration.go
@@ -2,29 +2,28 @@
 
 import "slices"
 
-// Service is a latency-critical service as operators declare it.
+// Service is a latency-critical service as declared by operators.
 type Service struct {
 	Name ServiceName `yaml:"Name"`
-	// Timeout bounds a request that brings no deadline of its own.
+	// Timeout bounds requests that have no deadline of their own.
 	Timeout Millis `yaml:"Timeout"`
-	// Slots is how many requests one executor runs at a time.
+	// Slots is the maximum number of requests that one executor runs at a time.
 	Slots int `yaml:"Slots"`
-	// Connections is how many connections one executor takes.
+	// Connections is the maximum number of connections to one executor.
 	Connections int `yaml:"Connections"`
-	// Queue is how many requests wait at one entry host.
+	// Queue is the maximum number of requests that wait at one entry host.
 	Queue int `yaml:"Queue"`
-	// Repeatable says that a request may be run more than once. Without it a
-	// request needs an Idempotency-Key and runs at most once.
+	// Repeatable says that a request may be run more than once. Otherwise a request needs an
+	// Idempotency-Key and runs at most once.
 	Repeatable bool `yaml:"Repeatable,omitempty"`
 }
 
-// TeamQuota is a team as operators declare it.
+// TeamQuota is a client account as declared by operators.
 type TeamQuota struct {
 	Name Team `yaml:"Name"`
-	// Weight is the team's share against the others'.
+	// Weight is the account's share relative to the others'.
 	Weight float64 `yaml:"Weight"`
-	// Quota bounds what the team's batch tasks hold in one cell; zero fields
-	// are unbounded.
+	// Quota bounds what the account's batch tasks hold in one cell; zero fields are unbounded.
 	Quota Resources `yaml:"Quota,omitempty"`
 }
 
@@ -35,20 +34,20 @@
 	Admission string `yaml:"Admission"`
 }
 
-// Limits bounds attempts and patience of the scheduler.
+// Limits bounds attempts, delays and retention.
 type Limits struct {
 	// Attempts is how often a task may fail before its job is stopped.
 	Attempts int `yaml:"Attempts"`
-	// LeavingWithin is how long after it is told a leaving host may still get work.
+	// LeavingWithin is for how long a host may still be given work after it was reported as leaving.
 	LeavingWithin Millis `yaml:"LeavingWithin"`
-	// AssignAhead is how many batch tasks are assigned to each worker beyond what
-	// it can run at once, so that batch goes on starting while the table is out.
+	// AssignAhead is how many batch tasks are assigned to each worker beyond what it can run at once,
+	// so that batch tasks continue to start while the table is unavailable.
 	AssignAhead int `yaml:"AssignAhead,omitempty"`
-	// KeepAnswers is how long the answer to a request that may not be repeated is kept.
+	// KeepAnswers is the retention of answers to requests that may not be repeated.
 	KeepAnswers Millis `yaml:"KeepAnswers"`
 }
 
-// Configuration is one operators' file.
+// Configuration is the content of the operators' configuration file.
 type Configuration struct {
 	Deployment string      `yaml:"Deployment"`
 	Teams      []TeamQuota `yaml:"Teams"`
--- a/doc.go
+++ b/doc.go
@@ -1,7 +1,5 @@
-// Package cottonlanding schedules latency-critical services and batch work on
-// the same hosts.
+// Package cottonlanding schedules latency-critical services and batch work on the same hosts.
 //
-// The package holds the core types and the interfaces that every part agrees
-// on. Implementations live below internal/, the coordination parts that other
-// programs can embed live in the package coordination.
+// The package holds the core types and the interfaces that all parts share. Implementations are in
+// internal/; the coordination parts that other programs can embed are in the package coordination.
 package cottonlanding
--- a/errors.go
+++ b/errors.go
@@ -2,19 +2,18 @@
 
 import "errors"
 
-// Errors that cross the interfaces of this package. Implementations wrap them
-// with what they know; callers test with errors.Is.
+// Errors that cross the interfaces of this package. Implementations wrap them with details; callers
+// test them with errors.Is.
 var (
-	// ErrBadName reports a name that operators may not choose.
+	// ErrBadName reports a name that is not allowed.
 	ErrBadName = errors.New("bad name")
-	// ErrConflict reports a transaction that was refused because a row had
-	// another version than expected. Nothing was written.
+	// ErrConflict reports a transaction that was refused because a row had another version than
+	// expected. Nothing was written.
 	ErrConflict = errors.New("conflict")
-	// ErrUnavailable reports an operation that certainly had no effect because
-	// the other side could not be reached.
+	// ErrUnavailable reports an operation that is known to have had no effect because the other side
+	// could not be reached.
 	ErrUnavailable = errors.New("unavailable")
-	// ErrAmbiguous reports an operation whose effect is unknown because its
-	// answer was lost.
+	// ErrAmbiguous reports an operation whose effect is unknown because its answer was lost.
 	ErrAmbiguous = errors.New("outcome unknown")
 	// ErrNotFound reports a row, object or name that does not exist.
 	ErrNotFound = errors.New("not found")
@@ -26,13 +25,14 @@
 	ErrCannotRun = errors.New("fits no worker")
 	// ErrBusy reports that a bounded queue is full.
 	ErrBusy = errors.New("queue full")
-	// ErrLate reports an order whose time had passed when it arrived.
+	// ErrLate reports an order that arrived after its deadline.
 	ErrLate = errors.New("too late")
-	// ErrOtherLife reports that another life answered than the one addressed, so
-	// that nothing of the one addressed goes on.
+	// ErrOtherLife reports that another life of a worker answered than the one addressed, so that
+	// nothing of the one addressed runs any more.
 	ErrOtherLife = errors.New("another life answered")
-	// ErrNotOwner reports a call that reached a host that doesn't own the cell.
+	// ErrNotOwner reports a call to a host that doesn't own the cell.
 	ErrNotOwner = errors.New("not the owner of the cell")
-	// ErrHistoryGone reports a feed that can't be continued from a version.
+	// ErrHistoryGone reports that a feed can't be continued from a version because the changes after
+	// it are no longer available.
 	ErrHistoryGone = errors.New("the store has forgotten that history")
 )
--- a/executor.go
+++ b/executor.go
@@ -2,14 +2,13 @@
 
 import "context"
 
-// RequestID identifies one dispatch of a request; the executor returns it with
-// the answer.
+// RequestID identifies one dispatch of a request; the executor returns it with the answer.
 type RequestID string
 
-// Header holds the header fields of a request or an answer, by canonical name.
+// Header holds the header fields of a request or an answer by their canonical names.
 type Header map[string][]string
 
-// Request is a caller's request to a service.
+// Request is a client's request to a service.
 type Request struct {
 	ID      RequestID
 	Service ServiceName
@@ -20,16 +19,16 @@
 	Body    []byte
 }
 
-// Answer is an executor's whole answer.
+// Answer is an executor's complete answer.
 type Answer struct {
 	Status int
 	Header Header
 	Body   []byte
-	// Leaving says that the executor will end and takes nothing new.
+	// Leaving says that the executor is about to end and takes no new requests.
 	Leaving bool
 }
 
-// Outcome tells whether a request was run. It is a true statement.
+// Outcome says whether a request was run. Ran and NotRun are reported only if they are certain.
 type Outcome string
 
 // The outcomes of a request.
@@ -42,10 +41,10 @@
 	Unknown Outcome = "Unknown"
 )
 
-// ExecutorClient speaks to executors.
+// ExecutorClient sends requests to executors.
 type ExecutorClient interface {
-	// Call sends the request once. ErrUnavailable means that no byte of it was
-	// sent or that the executor said it did not run it, in which case the answer
-	// may tell that it is leaving. ErrAmbiguous means that it may have run.
+	// Call sends the request once. ErrUnavailable means that no byte of it was sent, or that the
+	// executor reported that it did not run it; the answer may then say that the executor is leaving.
+	// ErrAmbiguous means that it may have run.
 	Call(ctx context.Context, executor Address, request Request) (Answer, error)
 }
--- a/export_test.go
+++ b/export_test.go
@@ -1,4 +1,4 @@
 package cottonlanding
 
-// NewSuspensionClock is newSuspensionClock for tests.
+// NewSuspensionClock exports newSuspensionClock for tests.
 var NewSuspensionClock = newSuspensionClock
--- a/feed.go
+++ b/feed.go
@@ -2,33 +2,33 @@
 
 import "context"
 
-// FeedRow is a row as a feed tells of it.
+// FeedRow is a row as a feed reports it.
 type FeedRow struct {
 	Key   string
 	Value []byte
-	// Version is the row's. Of one that was removed it may be the reading's: it was removed by
-	// then.
+	// Version is the row's version. For a removed row it may be the version of the reading, by which
+	// the row was gone.
 	Version Version
 	// Deleted says that the row was removed.
 	Deleted bool
 }
 
-// FeedReading is what one call has told of a table.
+// FeedReading is the result of one read of a feed.
 type FeedReading struct {
 	Rows []FeedRow
-	// Whole says that a row that isn't among them doesn't exist, as of Version.
+	// Whole says that Rows has the whole table: any other row doesn't exist as of Version.
 	Whole   bool
 	Version Version
-	// More says that there may be more to read at once.
+	// More says that more may be available at once.
 	More bool
-	// At is as of when the table is known completely, on this host's clock: when the call was
-	// sent, or zero if there may be more to read.
+	// At is the instant of this host's clock as of which the table is completely known: when the call
+	// was sent, or zero if more may be available.
 	At Millis
 }
 
-// Feed tells what others write to one table.
+// Feed reports what others write to one table.
 type Feed interface {
-	// Read reads the whole table if the version is zero, else what has changed after it, for
-	// which it waits up to a span. It returns ErrHistoryGone if that is no longer known.
+	// Read returns the whole table if version is zero, else the changes after that version, for which
+	// it waits up to the given time. It returns ErrHistoryGone if these are no longer available.
 	Read(ctx context.Context, version Version, wait Millis) (FeedReading, error)
 }
--- a/golden_test.go
+++ b/golden_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/golden/comparer"
 )
 
-// TestGoldenTypes guards against types in rows, in bodies and in messages that a process of another version, or a client,
-// reads as something else.
+// TestGoldenTypes guards against types in rows, bodies and messages that a client, or a process of
+// another version, reads differently.
 func TestGoldenTypes(t *testing.T) {
 	encode := func(value any) []byte {
 		data, err := json.Marshal(value)
@@ -50,7 +50,7 @@
 	})
 }
 
-// TestGoldenNames guards against values and names of rows that nobody else knows.
+// TestGoldenNames guards against changes to values, texts and row names that other processes know.
 func TestGoldenNames(t *testing.T) {
 	life, ref := cottonlanding.Life{Worker: "w", Born: 1_700_000_000_000}, cottonlanding.TaskRef{Workflow: "w", Round: 1, Step: 2, Index: 3}
 	parsed, err := cottonlanding.ParseTaskRef("w.1.2.3")
--- a/hostlist.go
+++ b/hostlist.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// HostState is the state that the platform gives for a host.
+// HostState is the state that the platform reports for a host.
 type HostState string
 
 // The states of a host.
@@ -14,27 +14,27 @@
 	Leaving HostState = "Leaving"
 )
 
-// WorkerInfo describes a worker as the host list gives it.
+// WorkerInfo describes a worker as the host list reports it.
 type WorkerInfo struct {
 	ID WorkerID
-	// Born is the birth of the life that the list tells of.
+	// Born is the birth of the listed life.
 	Born       Birth
 	Address    Address
 	DataCentre DataCentre
 	Rack       Rack
 	Capacity   Resources
 	State      HostState
-	// Service names the queues' service that the worker belongs to.
+	// Service is the service of the worker; the queues that name it use the worker.
 	Service ServiceName
-	// Labels lists the worker's properties, its rack among them.
+	// Labels lists the worker's properties, including its rack.
 	Labels []Label
 }
 
-// Life names the life that the list tells of.
+// Life returns the listed life.
 func (w WorkerInfo) Life() Life { return Life{w.ID, w.Born} }
 
-// WorkerAttributes is what the list says of a worker beyond that it lives. Two of them can be
-// compared.
+// WorkerAttributes holds what the list says of a worker other than that it is alive. Values can be
+// compared with ==.
 type WorkerAttributes struct {
 	born       Birth
 	address    Address
@@ -45,7 +45,7 @@
 	labels     string
 }
 
-// Attributes returns what the list says of the worker beyond that it lives.
+// Attributes returns what the list says of the worker other than that it is alive.
 func (w WorkerInfo) Attributes() WorkerAttributes {
 	return WorkerAttributes{
 		born:       w.Born,
@@ -58,7 +58,7 @@
 	}
 }
 
-// ExecutorInfo describes an executor as the host list gives it.
+// ExecutorInfo describes an executor as the host list reports it.
 type ExecutorInfo struct {
 	ID         ExecutorID
 	Service    ServiceName
@@ -68,13 +68,13 @@
 	State      HostState
 }
 
-// Hosts is one answer of the host list.
+// Hosts is one response of the host list.
 type Hosts struct {
 	Workers   []WorkerInfo
 	Executors []ExecutorInfo
 }
 
-// HostList is the platform's list of live and leaving hosts. It lags.
+// HostList is the platform's list of live and leaving hosts. It lags behind their actual state.
 type HostList interface {
 	// Hosts returns the hosts of one data centre.
 	Hosts(ctx context.Context, dataCentre DataCentre) (Hosts, error)
--- a/ids.go
+++ b/ids.go
@@ -6,14 +6,13 @@
 	"strconv"
 )
 
-// Names and numbers that identify things. Names are chosen by operators, ids by
-// the system.
+// Names and numbers that identify things. Operators choose names, the system assigns ids.
 type (
 	// DataCentre names a data centre, such as "brno-a".
 	DataCentre string
 	// Rack names a rack within a data centre.
 	Rack string
-	// Team names a customer that shares the hosts with others.
+	// Team names a client account that shares the hosts with others.
 	Team string
 	// ServiceName names a latency-critical service.
 	ServiceName string
@@ -23,17 +22,17 @@
 	WorkerID string
 	// ExecutorID identifies a process that answers requests of one service.
 	ExecutorID string
-	// SessionID identifies one life of one entry host's daemon.
+	// SessionID identifies one life of the daemon of an entry host.
 	SessionID string
-	// CellID identifies a group of racks that is placed as one, "<data centre>/<number>".
+	// CellID identifies a group of racks that is scheduled as one, "<data centre>/<number>".
 	CellID string
-	// CellNumber numbers the cells of a deployment's workflows, from zero.
+	// CellNumber numbers the cells in which a deployment runs its workflows, from zero.
 	CellNumber int
 	// Incarnation identifies one life of a worker; it changes with each restart.
 	Incarnation string
-	// Birth tells the lives of one worker apart: it is when a life began, as its own machine's
-	// clock showed it, in milliseconds since 1970. That clock may jump, so that of two births
-	// the smaller isn't the older one. Zero is unknown.
+	// Birth distinguishes the lives of one worker. It is the start of a life by the worker's own
+	// clock, in milliseconds since 1970. That clock may jump, so the smaller of two births need not be
+	// the earlier one. Zero is unknown.
 	Birth int64
 	// Epoch counts the owners of a cell; a higher one supersedes all lower ones.
 	Epoch uint64
@@ -45,7 +44,7 @@
 	Address string
 )
 
-// String returns the number as it stands in the keys of rows.
+// String returns the number as it is written in row keys.
 func (c CellNumber) String() string { return strconv.Itoa(int(c)) }
 
 // TaskID identifies one task of a job.
@@ -57,13 +56,13 @@
 // String returns the id as "job/index".
 func (t TaskID) String() string { return fmt.Sprintf("%s/%d", t.Job, t.Index) }
 
-// MaxNameLength is the longest name that operators may choose, in bytes.
+// MaxNameLength is the maximum length of a name that operators choose, in bytes.
 const MaxNameLength = 100
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// CheckName returns ErrBadName, wrapped with the reason, for a name that can't
-// stand in a row key or a path.
+// CheckName returns ErrBadName, wrapped with the reason, for a name that is invalid in a row key or a
+// path.
 func CheckName(name string) error {
 	if len(name) > MaxNameLength {
 		return fmt.Errorf("%w: %d bytes long, at most %d are allowed", ErrBadName, len(name), MaxNameLength)
--- a/job.go
+++ b/job.go
@@ -1,18 +1,17 @@
 package cottonlanding
 
-// JobKind tells how a job's tasks live.
+// JobKind says how the tasks of a job are run.
 type JobKind string
 
 // The kinds of job.
 const (
-	// Batch tasks run to their end and can be evicted.
+	// Batch tasks run to completion and can be evicted.
 	Batch JobKind = "Batch"
-	// Watch tasks are latency-critical: they start before batch tasks and are
-	// never evicted.
+	// Watch tasks are latency-critical: they start before batch tasks and are never evicted.
 	Watch JobKind = "Watch"
 )
 
-// JobSpec is a job as its owner submits it.
+// JobSpec is a job as submitted by its client.
 type JobSpec struct {
 	Name       JobName    `yaml:"Name"`
 	Team       Team       `yaml:"Team"`
@@ -48,7 +47,7 @@
 	Reason string
 }
 
-// TaskState is the state of a task as its cell's owner has committed it.
+// TaskState is the state of a task as committed by the owner of its cell.
 type TaskState string
 
 // The states of a task. The last three are final.
@@ -65,7 +64,7 @@
 	return s == TaskDone || s == TaskFailed || s == TaskCancelled
 }
 
-// Task is a task as its cell's owner has committed it.
+// Task is a task as committed by the owner of its cell.
 type Task struct {
 	ID            TaskID
 	State         TaskState
@@ -77,10 +76,11 @@
 	Checkpoint  ObjectName
 	// FailedOn lists the worker of each failed attempt.
 	FailedOn []WorkerID
-	// Lost counts the lives of workers that ended soon after the task began there, since it
-	// last ran for long.
+	// Lost counts the lives of workers that ended soon after the task began there, since its last long
+	// run.
 	Lost int `json:",omitempty"`
-	// Outlived says that the present run has lasted for longer than a task needs that crashes its worker.
+	// Outlived says that the current run has lasted for longer than a task takes that crashes its
+	// worker.
 	Outlived  bool `json:",omitempty"`
 	Evictions int
 	Result    string
--- a/life.go
+++ b/life.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// Life names one life of a worker. A worker that has crashed may be back under its id: what it
-// ran, has counted or was told before belongs to another life.
+// Life identifies one life of a worker, from one start to the next. A worker that crashes may return
+// with the same id; its earlier runs, counters and orders belong to another life.
 type Life struct {
 	Worker WorkerID
-	// Born tells the lives of a worker apart; zero is unknown.
+	// Born distinguishes the lives of a worker; zero is unknown.
 	Born Birth
 }
 
-// bornSeparator stands between the worker and the birth in a life's text.
+// bornSeparator separates the worker and the birth in the text of a life.
 const bornSeparator = "@"
 
-// birthBase is the base of the birth in a life's text, which stands in the rows of all tasks
-// that run: eight digits instead of thirteen.
+// birthBase is the base of the birth in the text of a life, which is stored with each task that runs:
+// eight digits instead of thirteen.
 const birthBase = 36
 
-// String returns "worker@birth", and the worker alone if its birth is unknown.
+// String returns "worker@birth", or the worker alone if its birth is unknown.
 func (l Life) String() string {
 	if l.Born == 0 && !strings.Contains(string(l.Worker), bornSeparator) {
 		return string(l.Worker)
@@ -32,7 +32,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (l Life) MarshalText() ([]byte, error) { return []byte(l.String()), nil }
 
-// UnmarshalText reads what String returned.
+// UnmarshalText implements encoding.TextUnmarshaler for the result of String.
 func (l *Life) UnmarshalText(text []byte) error {
 	at := strings.LastIndex(string(text), bornSeparator)
 	if at < 0 {
@@ -47,6 +47,6 @@
 	return nil
 }
 
-// DiffersFrom reports whether two births are known and differ. Unequal is another life, and
-// smaller isn't older.
+// DiffersFrom reports whether both births are known and differ. They are then of two lives, of which
+// the one with the smaller birth need not be the earlier one.
 func (b Birth) DiffersFrom(other Birth) bool { return b != 0 && other != 0 && b != other }
--- a/life_test.go
+++ b/life_test.go
@@ -9,7 +9,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestLifeRoundTrip: any worker and birth, also an id that holds the separator.
+// TestLifeRoundTrip guards against a life that is read back as another one, also if the worker's id
+// contains the separator.
 func TestLifeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		life := cottonlanding.Life{
@@ -24,6 +25,6 @@
 	})
 	var life cottonlanding.Life
 	require.NoError(t, life.UnmarshalText([]byte("i-1")))
-	require.Equal(t, cottonlanding.Life{Worker: "i-1"}, life, "a row without births")
+	require.Equal(t, cottonlanding.Life{Worker: "i-1"}, life, "a text without a birth")
 	require.Error(t, life.UnmarshalText([]byte("i-1@no birth")))
 }
--- a/policy.go
+++ b/policy.go
@@ -1,6 +1,6 @@
 package cottonlanding
 
-// TaskView is what policies see of a task.
+// TaskView describes a task to policies.
 type TaskView struct {
 	ID        TaskID
 	Team      Team
@@ -9,13 +9,13 @@
 	Resources Resources
 	// Queued is when the task became ready to run.
 	Queued Millis
-	// Ran is how long the present attempt has run since its last checkpoint.
+	// Ran is how long the current attempt has run since its last checkpoint.
 	Ran Millis
 	// Evictions counts how often the task was evicted.
 	Evictions int
 }
 
-// WorkerView is what policies see of a worker.
+// WorkerView describes a worker to policies.
 type WorkerView struct {
 	ID       WorkerID
 	Rack     Rack
@@ -27,116 +27,116 @@
 	Services []ServiceName
 }
 
-// NoWorker is a PlacementPolicy's answer when it picks none.
+// NoWorker is the result of a PlacementPolicy that picks no worker.
 const NoWorker = -1
 
 // PlacementPolicy picks a worker for a task.
 type PlacementPolicy interface {
-	// Place returns the index of the picked worker or NoWorker. All candidates
-	// can carry the task; the cell checks the pick all the same.
+	// Place returns the index of the picked worker, or NoWorker. The task fits all candidates; the
+	// cell checks the choice nevertheless.
 	Place(task TaskView, candidates []WorkerView) int
 }
 
-// EvictionPolicy picks the tasks that give way.
+// EvictionPolicy picks the tasks to be preempted.
 type EvictionPolicy interface {
 	// Order sorts victims in place, the first to be evicted first.
 	Order(victims []TaskView)
 }
 
-// TeamUsage is a team's use of the cell and its weight.
+// TeamUsage is what a client account uses of the cell, and its weight.
 type TeamUsage struct {
 	Team   Team
 	Weight float64
-	// Use is the processor capacity that the team's tasks hold.
+	// Use is the processor capacity that the account's tasks hold.
 	Use Millicores
 }
 
-// AdmissionPolicy picks the order in which queued tasks are placed.
+// AdmissionPolicy determines the order in which queued tasks are placed.
 type AdmissionPolicy interface {
 	// Order sorts the queued tasks in place, the first to be placed first.
 	Order(queued []TaskView, teams []TeamUsage)
 }
 
-// LightWeight is the weight up to which a filling image hardly disturbs a serving one:
-// pairs were seen to have weights of 0.1 to 0.3, or of 1 to 4.
+// LightWeight is the maximum weight at which a filling image hardly disturbs a serving one: pairs have
+// weights of 0.1 to 0.3, or of 1 to 4.
 const LightWeight = 0.5
 
-// PairView is what is known of how much a filling image disturbs a serving one.
+// PairView describes how much a filling image interferes with a serving one, as far as is known.
 type PairView struct {
-	// Weight is by how much a filling task that uses a whole worker makes the serving
-	// task busier, as far as is known.
+	// Weight is by how much a filling task that uses a whole worker increases the utilization of the
+	// serving task.
 	Weight float64
 	// StandardError is the standard error of Weight.
 	StandardError float64
 }
 
-// DisturbancePolicy decides what is assumed of pairs of images while little is known
-// of them.
+// DisturbancePolicy decides which interference is assumed for pairs of images of which little is
+// known.
 type DisturbancePolicy interface {
-	// Weight returns the weight by which to plan; it is never negative.
+	// Weight returns the weight to plan with. It is never negative.
 	Weight(pair PairView) float64
-	// Untried reports whether the pair has to be tried: a worker gets one task of
-	// untried pairs at a time.
+	// Untried reports whether the pair has to be tried. A worker gets one task of untried pairs at a
+	// time.
 	Untried(pair PairView) bool
 }
 
-// MixView is what becomes of a worker if a serving task of another image joins those
-// that it has.
+// MixView describes a worker that a serving task of another image may join.
 type MixView struct {
-	// Tolerated counts the filling images that hardly disturb the serving tasks there,
-	// ToleratedAfter those that would not disturb the new one either.
+	// Tolerated counts the filling images that hardly disturb the serving tasks on the worker,
+	// ToleratedAfter those of them that would not disturb the new task either.
 	Tolerated, ToleratedAfter int
 }
 
-// MixingPolicy picks the workers on which serving tasks of several images may come together.
+// MixingPolicy picks the workers on which serving tasks of several images may be combined.
 type MixingPolicy interface {
-	// Narrow returns the indices of the workers to choose from, at least one of them.
+	// Narrow returns the indices of the workers to choose from, at least one.
 	Narrow(workers []MixView) []int
 }
 
-// CellView is what is known of a cell's room.
+// CellView describes the free capacity of a cell.
 type CellView struct {
 	Cell CellNumber
 	// Usable says that the cell has an owner that can reach workers.
 	Usable bool
-	// Free is the part of its processors that no task holds, less what waits for room;
-	// Spare is the part that is expected to be unused, less what filling tasks wait for.
+	// Free is the fraction of the cell's processors that no task holds, less what waits for room.
+	// Spare is the fraction that is expected to be unused, less what filling tasks wait for.
 	Free, Spare float64
 }
 
-// ReferralPolicy picks the cell that keeps a workflow.
+// ReferralPolicy picks the cell of a workflow.
 type ReferralPolicy interface {
-	// Refer returns another cell for a workflow than its home, and whether there is one.
+	// Refer returns a cell other than the home of the workflow, and whether the workflow is to go
+	// there.
 	Refer(workflow Workflow, home CellView, others []CellView) (CellNumber, bool)
 }
 
 // DelegationPolicy picks the cell that runs a lasting task for which its own cell has no room.
 type DelegationPolicy interface {
-	// Delegate returns one of the candidates, each of which has room for the task, and whether
-	// the task is to go there.
+	// Delegate returns one of the candidates, each of which has room for the task, and whether the
+	// task is to go there.
 	Delegate(task TaskRef, candidates []CellView) (CellNumber, bool)
 }
 
-// RankView is what is known of a workflow that isn't done, by its client's estimates.
+// RankView describes an unfinished workflow by its client's estimates.
 type RankView struct {
-	// Age is how long ago the workflow was accepted, Objective in which time it should be
-	// done; zero is none.
+	// Age is the time since the workflow was accepted, Objective the time in which it should be done;
+	// zero is none.
 	Age, Objective Millis
-	// ChainLeft is the longest chain of tasks that aren't done, Slack how much longer the
-	// workflow may wait to be done in its time; negative for one that can't be any more.
+	// ChainLeft is the duration of the longest chain of unfinished tasks, Slack how much longer the
+	// workflow may wait and still meet its objective, negative if it can't.
 	ChainLeft, Slack Millis
-	// Work is the work of all its tasks in millicore-milliseconds, Left that of those that
-	// aren't done, MeanWork the mean of the workflows of its queue.
+	// Work is the work of all its tasks in millicore-milliseconds, Left that of the unfinished ones,
+	// MeanWork the mean over the workflows of its queue.
 	Work, Left, MeanWork float64
 }
 
-// Rank orders workflows: lower classes go first, within a class lower scores.
+// Rank orders workflows: lower classes go first, and within a class lower scores.
 type Rank struct {
 	Class int
 	Score float64
 }
 
-// RankingPolicy orders the workflows of one priority that wait for room.
+// RankingPolicy orders the waiting workflows of one priority.
 type RankingPolicy interface {
 	Rank(view RankView) Rank
 }
--- a/run.go
+++ b/run.go
@@ -2,74 +2,74 @@
 
 import "context"
 
-// RunKey names one run of a task.
+// RunKey identifies one run of a task.
 type RunKey struct {
 	Task   TaskRef
 	Number RunNumber
 }
 
-// WorkerRef says how to reach one life of a worker. Calls name the worker alone: which life
-// takes an order is known only from its next answer to a look.
+// WorkerRef says how to reach one life of a worker. Calls address the worker alone; which life
+// received an order is known only from the worker's next answer to a poll.
 type WorkerRef struct {
 	Life    Life
 	Address Address
 }
 
-// RunStart tells a worker to start a run.
+// RunStart is the order to start a run.
 type RunStart struct {
 	RunKey
 	Payload string
-	// LeaseUntil is when the worker ends everything unless told otherwise, on its
-	// own clock. It is never shortened.
+	// LeaseUntil is when the worker, by its own clock, ends all runs unless the lease is renewed. It
+	// never moves back.
 	LeaseUntil Reading
 	Epoch      Epoch
 	// Checkpoint is where the run continues.
 	Checkpoint Checkpoint
-	// Ticket proves that an advisor allows this worker; empty where none is asked.
+	// Ticket proves that an advisor allows this worker; empty if no advisor is asked.
 	Ticket string
 }
 
-// Poll renews a worker's lease and asks what became of its runs.
+// Poll renews a worker's lease and asks for the state of its runs.
 type Poll struct {
-	// LeaseUntil is as in RunStart; zero only looks.
+	// LeaseUntil is as in RunStart; zero renews nothing.
 	LeaseUntil Reading
 	Epoch      Epoch
-	// Seen is the number of the last end that the worker may forget.
+	// Seen is the serial number of the last end that the worker may forget.
 	Seen uint64
-	// Wait is how long the worker may hold its answer back until a run ends.
+	// Wait is for how long the worker may hold back its answer until a run ends.
 	Wait Millis
 }
 
-// RunProgress is a run that goes on.
+// RunProgress describes a run that has not ended.
 type RunProgress struct {
 	RunKey
 	Checkpoint Checkpoint
-	// Percent is how much is done; for lasting tasks 100 means at work.
+	// Percent is how much is done; for lasting tasks 100 means that the task works.
 	Percent int
-	// Tail is the tail latency in the last half second of a task that serves,
-	// Used the processors in use of any other; which one it is depends on the step.
+	// Tail is the tail latency of a serving task over the last half second, Used the processors in use
+	// by any other task; the step determines which of the two applies.
 	Tail Millis
 	Used Millicores
 }
 
-// EndKind tells how a run ended.
+// EndKind says how a run ended.
 type EndKind string
 
 // The ends of a run.
 const (
 	EndDone EndKind = "Done"
-	// EndFailed is the task's own fault or the worker's.
+	// EndFailed means a failure of the task or of the worker.
 	EndFailed  EndKind = "Failed"
 	EndStopped EndKind = "Stopped"
-	// EndLapsed means that the lease ran out.
+	// EndLapsed means that the lease expired.
 	EndLapsed EndKind = "Lapsed"
-	// EndBroken means that another run of its gang ended.
+	// EndBroken means that another run of the gang ended.
 	EndBroken EndKind = "Broken"
-	// EndAlone means that the others of its gang did not come in time.
+	// EndAlone means that the other runs of the gang did not arrive in time.
 	EndAlone EndKind = "Alone"
 )
 
-// RunEnd is a run that has ended and that the worker still remembers.
+// RunEnd is a run that has ended and that the worker still reports.
 type RunEnd struct {
 	RunKey
 	// Serial counts the ends within one life of the worker, from 1.
@@ -78,7 +78,7 @@
 	Checkpoint Checkpoint
 }
 
-// RunReport is a worker's answer to a look.
+// RunReport is a worker's answer to a poll.
 type RunReport struct {
 	// Born is the birth of the life that answers.
 	Born    Birth
@@ -87,19 +87,17 @@
 	Ended   []RunEnd
 }
 
-// RunClient gives orders to workers. Besides the errors below, a call fails with
-// ErrOtherLife if another life of the worker answered, ErrUnavailable if the
-// order certainly had no effect, and ErrAmbiguous if it may have been carried
-// out or may yet be.
+// RunClient sends orders to workers. Besides the errors below, a call fails with ErrOtherLife if
+// another life of the worker answered, ErrUnavailable if the order is known to have had no effect, and
+// ErrAmbiguous if it may have been carried out or may still be.
 type RunClient interface {
-	// Start starts a run; repeating it is harmless. ErrStaleEpoch means that a
-	// newer owner was seen, ErrConflict that this run or a later one has ended,
-	// ErrBusy that there is no room, ErrLate that the lease it brings has passed,
-	// ErrRefused that it never will start.
+	// Start starts a run; it is idempotent. ErrStaleEpoch means that the worker has seen a newer
+	// owner, ErrConflict that this run or a later one has ended, ErrBusy that there is no room,
+	// ErrLate that the lease in the order has expired, ErrRefused that the run will never start.
 	Start(ctx context.Context, worker WorkerRef, start RunStart) (Reading, error)
-	// Stop ends a run, and keeps it from starting if it has not come yet.
+	// Stop ends a run, or prevents its start if the start has not arrived yet.
 	Stop(ctx context.Context, worker WorkerRef, run RunKey, epoch Epoch) error
-	// Poll returns what goes on and what has ended.
+	// Poll returns the runs that go on and those that have ended.
 	Poll(ctx context.Context, worker WorkerRef, poll Poll) (RunReport, error)
 	// Pace sets the share of its usual speed at which a run works, in percent.
 	Pace(ctx context.Context, worker WorkerRef, run RunKey, percent int, epoch Epoch) error
--- a/suspension.go
+++ b/suspension.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// stepTolerance is how far the time of day may move against the monotonic clock before it is
-// asked whether the host was suspended: more than clocks are slewed by in an hour, and far
-// below any span that a lease rests on.
+// stepTolerance is how far the time of day may move against the monotonic clock before the time since
+// boot is read: more than clocks are slewed by in an hour, and far less than any lease.
 const stepTolerance = 2 * time.Millisecond
 
-// NewHostClock returns a clock that counts the time for which the host was suspended, where
-// the system tells. The monotonic clock stands still meanwhile, so that a host which wakes
-// would believe in a lease that others saw run out. For all but that it is NewClock.
+// NewHostClock returns a clock that includes the time for which the host was suspended, if the system
+// provides it. The monotonic clock stops meanwhile, so that a resumed host would rely on a lease that
+// has expired for all others. In all other respects it is like NewClock.
 func NewHostClock() Clock {
 	start := time.Now()
 	return newSuspensionClock(func() (wall, monotonic time.Duration) {
@@ -21,16 +20,16 @@
 	}, sinceBoot)
 }
 
-// suspension is how far the clock is ahead of the monotonic one, and how far the time of day
-// was when that was found out.
+// suspension holds by how much the clock is ahead of the monotonic one, and by how much the time of
+// day was when that was determined.
 type suspension struct {
 	suspended time.Duration
 	step      time.Duration
 }
 
-// newSuspensionClock is NewHostClock on given clocks. Asking the system costs a call to it,
-// which the two others don't: it is asked when the time of day has moved against the
-// monotonic clock, as it does over a suspension.
+// newSuspensionClock is NewHostClock on the given clocks. Reading the time since boot takes a system
+// call, which the other two clocks don't need, so it is read only when the time of day has moved
+// against the monotonic clock, as it does over a suspension.
 func newSuspensionClock(read func() (wall, monotonic time.Duration), sinceBoot func() (time.Duration, bool)) Clock {
 	_, monotonicStart := read()
 	boot, ok := sinceBoot()
--- a/suspension_test.go
+++ b/suspension_test.go
@@ -9,8 +9,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// clocks are those of a host: the time of day and the one since boot go on while the host is
-// suspended, the monotonic one stands still.
+// clocks are those of a host: the time of day and the time since boot advance while the host is
+// suspended, the monotonic one stops.
 type clocks struct {
 	wall, monotonic, boot time.Duration
 	bootReads             int
@@ -28,8 +28,8 @@
 		func() (time.Duration, bool) { c.bootReads++; return c.boot, true })
 }
 
-// TestClockCountsSuspension plays two hosts of which one is suspended for longer than a
-// lease: by its own clock it must know so before it does anything.
+// TestClockCountsSuspension guards against a resumed host that relies on an expired lease. Of two
+// hosts one is suspended for longer than a lease, and the first reading of its clock has to show it.
 func TestClockCountsSuspension(t *testing.T) {
 	const lease = 6 * cottonlanding.Second
 	suspended, other := &clocks{boot: time.Hour}, &clocks{boot: 2 * time.Hour}
@@ -43,10 +43,11 @@
 	other.run(8 * time.Second)
 	require.Equal(t, 9*cottonlanding.Second, one.Now())
 	require.Equal(t, one.Now(), two.Now())
-	require.Greater(t, one.Now(), until, "it believes in a lease that the other saw run out")
+	require.Greater(t, one.Now(), until, "the lease has expired by the other host's clock")
 }
 
-// TestClockIgnoresWallClockSteps: they aren't suspensions, whichever way they go.
+// TestClockIgnoresWallClockSteps guards against steps of the time of day, in either direction, that
+// are taken for suspensions.
 func TestClockIgnoresWallClockSteps(t *testing.T) {
 	host := &clocks{boot: time.Hour}
 	clock := host.clock()
@@ -61,8 +62,8 @@
 	require.Equal(t, 3300*cottonlanding.Millis(1), clock.Now())
 }
 
-// TestBootClockReadsAreRare: each question is a call to it, and clocks are read
-// thousands of times a second.
+// TestBootClockReadsAreRare guards against a system call at every reading of the clock, of which there
+// are thousands a second.
 func TestBootClockReadsAreRare(t *testing.T) {
 	host := &clocks{}
 	clock := host.clock()
@@ -73,7 +74,7 @@
 	require.Equal(t, 1, host.bootReads)
 }
 
-// TestHostClockAdvances reads the real clocks.
+// TestHostClockAdvances guards against a host clock that stops, on the real clocks.
 func TestHostClockAdvances(t *testing.T) {
 	clock := cottonlanding.NewHostClock()
 	before := clock.Now()
--- a/table.go
+++ b/table.go
@@ -5,11 +5,10 @@
 	"strings"
 )
 
-// Key names a row. Parts are joined with '/'. What stands before a ':' is the
-// row's partition.
+// Key identifies a row. Its parts are joined with '/'; what precedes a ':' is the row's partition.
 type Key string
 
-// Partition names rows that one transaction can write together.
+// Partition names a set of rows that one transaction can write together.
 type Partition string
 
 // Partition returns the partition of the row, which is empty for a key without ':'.
@@ -32,12 +31,12 @@
 // Key returns the key of a row of the partition.
 func (p Partition) Key(name string) Key { return Key(string(p) + ":" + name) }
 
-// Version numbers a row's states. It grows with each write and is never used
-// again, also after the row was deleted. Zero means that the row is absent.
+// Version numbers the states of a row. It grows with each write and is never reused, not even after a
+// deletion. Zero means that the row is absent.
 type Version uint64
 
-// TransactionID identifies a transaction; the table stores it in every row that
-// the transaction wrote, so that a writer whose answer was lost can look.
+// TransactionID identifies a transaction. The table stores it in every row that the transaction wrote,
+// so that a writer whose answer was lost can find out whether the transaction took effect.
 type TransactionID string
 
 // Row is one row of the table.
@@ -54,42 +53,39 @@
 	Expect Version
 }
 
-// Write replaces, creates or deletes a row that has the expected version, unless
-// it is unchecked.
+// Write replaces, creates or deletes a row that has the expected version, unless it is unchecked.
 type Write struct {
 	Key    Key
 	Expect Version
 	Value  []byte
 	Delete bool
-	// Unchecked writes whatever version the row has. It is for rows that only one
-	// writer changes, whose transactions a check of another row keeps serial.
+	// Unchecked writes the row whatever its version. It is for rows with a single writer whose
+	// transactions are serialized by a check of another row.
 	Unchecked bool
 }
 
-// Transaction takes effect as a whole, or not at all. All its rows are of one
-// partition.
+// Transaction takes effect atomically. All its rows are of one partition.
 type Transaction struct {
 	ID     TransactionID
 	Checks []Check
 	Writes []Write
 }
 
-// Receipt tells the version that all rows written by one transaction have.
+// Receipt holds the version that all rows written by a transaction have.
 type Receipt struct {
 	Version Version
 }
 
 // Table is the platform's transactional table service.
 type Table interface {
-	// Commit applies the transaction. It returns ErrConflict if a version was
-	// not the expected one, ErrUnavailable if it certainly had no effect, and
-	// ErrAmbiguous if that is unknown; the copy sent may then still take effect
-	// at any later time.
+	// Commit applies the transaction. It returns ErrConflict if a version was not the expected one,
+	// ErrUnavailable if the transaction is known to have had no effect, and ErrAmbiguous if that is
+	// unknown; a copy under way may then still take effect at any later time.
 	Commit(ctx context.Context, transaction Transaction) (Receipt, error)
-	// Read returns the rows that exist among keys.
+	// Read returns those of the rows that exist.
 	Read(ctx context.Context, keys ...Key) ([]Row, error)
-	// Scan returns up to limit rows whose keys start with prefix and lie after
-	// the key after, in order.
+	// Scan returns, in order, up to limit rows whose keys start with prefix and come after the key
+	// after.
 	Scan(ctx context.Context, prefix, after Key, limit int) ([]Row, error)
 }
 
@@ -98,10 +94,10 @@
 
 // ObjectStore is the platform's object store.
 type ObjectStore interface {
-	// Put stores an object whole, replacing an older one.
+	// Put stores a complete object, replacing an older one.
 	Put(ctx context.Context, name ObjectName, data []byte) error
 	// Get returns an object, or ErrNotFound.
 	Get(ctx context.Context, name ObjectName) ([]byte, error)
-	// Delete removes an object; one that is absent is no error.
+	// Delete removes an object; it is no error if the object is absent.
 	Delete(ctx context.Context, name ObjectName) error
 }
--- a/table_test.go
+++ b/table_test.go
@@ -8,7 +8,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestKeySplits: only the first ':' parts them, and a key needs no partition.
+// TestKeySplits guards against keys that are split at the wrong ':'. Only the first one separates
+// partition and name, and a key needs no partition.
 func TestKeySplits(t *testing.T) {
 	for key, want := range map[cottonlanding.Key][2]string{
 		"P:a/1":   {"P", "a/1"},
--- a/tableclock_test.go
+++ b/tableclock_test.go
@@ -9,11 +9,12 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestTableInstantsAreConservative: an instant that one process writes by the table's clock, and another reads, is never earlier by the
-// other's clock than it was meant, however slow the answers are and however the clocks drift.
+// TestTableInstantsAreConservative guards against bounds that end early. An instant that one process
+// writes by the table's clock, and another reads, is never earlier by the other's clock than it was
+// meant, however slow the answers are and however the clocks drift.
 func TestTableInstantsAreConservative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const begins, shownAtStart = 100_000, 7_000_000 // of true time; all clocks but the table's are offset from it
+		const begins, shownAtStart = 100_000, 7_000_000 // of true time, from which the clocks of writer and reader are offset
 		drift := rapid.IntRange(-9, 9).Draw(t, "DriftPerMille")
 		shown := func(at cottonlanding.Millis) cottonlanding.TableInstant {
 			passed := at - begins
--- a/units.go
+++ b/units.go
@@ -94,29 +94,29 @@
 	return 0, fmt.Errorf("%q is no amount of memory: write it like 512MB or 125GB", text)
 }
 
-// Resources is what a worker has, or what a task needs.
+// Resources is the capacity of a worker, or the demand of a task.
 type Resources struct {
 	CPU          Millicores   `yaml:"CPU"`
 	Memory       Bytes        `yaml:"Memory"`
 	Accelerators Accelerators `yaml:"Accelerators,omitempty"`
 }
 
-// Plus returns the sum.
+// Plus returns the sum of each field.
 func (r Resources) Plus(o Resources) Resources {
 	return Resources{CPU: r.CPU + o.CPU, Memory: r.Memory + o.Memory, Accelerators: r.Accelerators + o.Accelerators}
 }
 
-// Minus returns the difference; a field may become negative.
+// Minus returns the difference of each field, which may be negative.
 func (r Resources) Minus(o Resources) Resources {
 	return Resources{CPU: r.CPU - o.CPU, Memory: r.Memory - o.Memory, Accelerators: r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether r can be carried by free.
+// Fits reports whether each field of r is at most that of free.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU && r.Memory <= free.Memory && r.Accelerators <= free.Accelerators
 }
 
-// Times returns r several times over.
+// Times returns each field multiplied by n.
 func (r Resources) Times(n int) Resources {
 	return Resources{CPU: Millicores(n) * r.CPU, Memory: Bytes(n) * r.Memory, Accelerators: Accelerators(n) * r.Accelerators}
 }
--- a/watched.go
+++ b/watched.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// WatchedPrefix begins the names of rows that a table's feed tells of: all hosts must know
-// them soon, and they change rarely, so that being told costs less than looking.
+// WatchedPrefix begins the names of the rows that a table's feed reports. All hosts need them soon and
+// they change rarely, so that a feed costs less than polling.
 const WatchedPrefix = "Watched/"
 
-// Watched reports whether the table's feed tells of the row.
+// Watched reports whether the table's feed reports the row.
 func (k Key) Watched() bool { return strings.HasPrefix(k.Name(), WatchedPrefix) }
--- a/workflow.go
+++ b/workflow.go
@@ -20,19 +20,19 @@
 	RunNumber uint32
 )
 
-// Workflow is a job of dependent steps as its client submits it.
+// Workflow is a job of dependent steps as submitted by its client.
 type Workflow struct {
 	ID    WorkflowID
 	Queue QueueName
-	// Payload is handed to every task.
+	// Payload is passed to every task.
 	Payload  string
 	Steps    []Step
 	Schedule Schedule `json:",omitzero"`
 }
 
-// Schedule repeats the steps of a workflow. The zero value runs them once, at once.
+// Schedule repeats the steps of a workflow. The zero value runs them once, immediately.
 type Schedule struct {
-	// First is the due time of the first round, in milliseconds since 1970.
+	// First is when the first round is due, in milliseconds since 1970.
 	First    int64
 	Interval Millis
 	Rounds   int
@@ -42,7 +42,7 @@
 type Step struct {
 	Tasks     int
 	Resources Resources
-	// Estimate is the client's guess of a task's run time.
+	// Estimate is the client's estimate of a task's run time.
 	Estimate Millis `json:",omitempty"`
 	// After lists the earlier steps whose tasks must all be done first.
 	After []int `json:",omitempty"`
@@ -50,28 +50,28 @@
 	Checkpoints bool `json:",omitempty"`
 	// Gang says that the tasks run only together.
 	Gang bool `json:",omitempty"`
-	// SameRack asks for one rack for all tasks, to be fast.
+	// SameRack asks for one rack for all tasks, where they run faster.
 	SameRack bool `json:",omitempty"`
-	// Requires is a label that the worker must have; empty is any.
+	// Requires is a label that the worker must have; empty allows any worker.
 	Requires Label `json:",omitempty"`
-	// DataRack is the rack on which the tasks run fastest; empty is any.
+	// DataRack is the rack on which the tasks run fastest; empty if there is none.
 	DataRack Rack `json:",omitempty"`
-	// MostPerWorker bounds the tasks of one round on one worker; zero is unbounded.
+	// MostPerWorker is the maximum number of tasks of one round on one worker; zero is unbounded.
 	MostPerWorker int `json:",omitempty"`
-	// Speculative allows copies of a task side by side.
+	// Speculative allows several runs of a task side by side.
 	Speculative bool `json:",omitempty"`
 	// Lasting tasks run until the workflow is cancelled.
 	Lasting bool  `json:",omitempty"`
 	Image   Image `json:",omitempty"`
-	// LatencyTarget bounds the tail latency of a lasting task's own users; zero is none.
+	// LatencyTarget bounds the tail latency that a lasting task offers its own users; zero is none.
 	LatencyTarget Millis `json:",omitempty"`
-	// Fills says that the tasks take only processor time that others leave unused.
+	// Fills says that the tasks use only processor time that others leave unused.
 	Fills bool `json:",omitempty"`
 	// MayBeAway is how many lasting tasks the scheduler may interrupt at a time.
 	MayBeAway int `json:",omitempty"`
 }
 
-// Reserved returns what a task of the step takes of its worker's room.
+// Reserved returns the resources of its worker that a task of the step occupies.
 func (s Step) Reserved() Resources {
 	out := s.Resources
 	if s.Fills {
@@ -80,21 +80,20 @@
 	return out
 }
 
-// Serves reports whether the step's tasks answer users of their own.
+// Serves reports whether the step's tasks serve users of their own.
 func (s Step) Serves() bool { return s.LatencyTarget > 0 && !s.Fills }
 
-// Bounds of a workflow.
+// Limits of a workflow.
 const (
-	// MaxPayload is the longest payload, in bytes.
+	// MaxPayload is the maximum length of a payload, in bytes.
 	MaxPayload = 4000
-	// maxSteps and maxTasks bound one round, so that its state fits a row of the table where ids of
-	// workers have two dozen bytes.
+	// maxSteps and maxTasks limit one round, so that its state fits a row of the table with worker ids
+	// of two dozen bytes.
 	maxSteps = 64
 	maxTasks = 1000
 )
 
-// Check returns ErrCannotRun, wrapped with the reason, for a workflow that
-// contradicts itself.
+// Check returns ErrCannotRun, wrapped with the reason, for a workflow that is inconsistent.
 func (w Workflow) Check() error {
 	switch {
 	case w.ID == "":
@@ -104,7 +103,7 @@
 	case len(w.Steps) == 0 || len(w.Steps) > maxSteps:
 		return fmt.Errorf("%w: %d steps, must be 1 to %d", ErrCannotRun, len(w.Steps), maxSteps)
 	case w.Schedule.Rounds < 0 || w.Schedule.Rounds > 0 && w.Schedule.Interval < 0:
-		return fmt.Errorf("%w: the schedule goes backwards", ErrCannotRun)
+		return fmt.Errorf("%w: the schedule has a negative interval or number of rounds", ErrCannotRun)
 	}
 	total := 0
 	for at, step := range w.Steps {
@@ -128,7 +127,7 @@
 	}
 	for _, earlier := range s.After {
 		if earlier < 0 || earlier >= at {
-			return fmt.Errorf("must come after step %d, which is no earlier step", earlier)
+			return fmt.Errorf("depends on step %d, which is not an earlier step", earlier)
 		}
 	}
 	return nil
@@ -171,7 +170,7 @@
 // The states of a workflow. The last three are final.
 const (
 	WorkflowPending WorkflowState = "Pending"
-	// WorkflowRunning says that a task was placed on a worker, which may not have begun it yet.
+	// WorkflowRunning means that a task was placed on a worker, which may not have started it yet.
 	WorkflowRunning   WorkflowState = "Running"
 	WorkflowSucceeded WorkflowState = "Succeeded"
 	WorkflowFailed    WorkflowState = "Failed"
@@ -181,7 +180,7 @@
 // Final reports whether the state never changes again.
 func (s WorkflowState) Final() bool { return s != WorkflowPending && s != WorkflowRunning }
 
-// Queue is a queue of workflows as operators declare it.
+// Queue is a queue of workflows as declared by operators.
 type Queue struct {
 	Name QueueName
 	// Service names the workers that run the queue's tasks.
@@ -190,8 +189,8 @@
 	Priority int
 	// Attempts is how many runs of a task may fail before its workflow fails.
 	Attempts int
-	// Stretch times the longest chain of work, plus LatencyTarget, is the time in
-	// which a workflow should be done.
+	// Stretch times the longest chain of work, plus LatencyTarget, is the time in which a workflow
+	// should be done.
 	Stretch       float64
 	LatencyTarget Millis
 }
