--- a/internal/workflow/partitioner/fuzz_test.go
+++ b/internal/workflow/partitioner/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/partitioner"
 )
 
-// FuzzLayout checks that a layout that is read gives each workflow a home and each rack a cell.
+// FuzzLayout guards against decoded layouts that give a workflow or a rack a cell that doesn't exist.
 func FuzzLayout(f *testing.F) {
 	f.Add([]byte(`{"Cells":3,"Racks":{"d1/r1":0,"d1/r2":2}}`))
 	f.Add([]byte(`{"Cells":0}`))
--- a/internal/workflow/partitioner/golden_test.go
+++ b/internal/workflow/partitioner/golden_test.go
@@ -11,12 +11,13 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/partitioner"
 )
 
-// TestGoldenLayout guards against a layout, which never changes again, that another version reads as something else.
+// TestGoldenLayout guards against layouts, which are stored for good, that another version reads
+// differently.
 func TestGoldenLayout(t *testing.T) {
 	comparer.JSON(t, func(value any) []byte { return value.(partitioner.Layout).Encode() }, map[string]any{"Layout": partitioner.Layout{}})
 }
 
-// TestGoldenRackKeys guards against racks and workflows that another version counts to another cell.
+// TestGoldenRackKeys guards against racks and workflows that another version assigns to another cell.
 func TestGoldenRackKeys(t *testing.T) {
 	golden, err := os.ReadFile("testdata/golden/Divided.json")
 	require.NoError(t, err)
--- a/internal/workflow/partitioner/layout.go
+++ b/internal/workflow/partitioner/layout.go
@@ -1,13 +1,12 @@
-// Package partitioner divides the workers and the workflows of a deployment among
-// cells, each of which one host decides for.
+// Package partitioner divides the workers and the workflows of a deployment among cells, each of which
+// is scheduled by one host.
 //
-// Decisions for one cell look at all its workers for each task, and all its orders,
-// looks and commits go over one host's link: with a thousand workers and thousands of
-// starts a second both are more than a host has. A cell has whole racks, of each data
-// centre as many as any other cell: where 66 of 220 workers of one data centre were taken
-// away, a cell that had only those had no room for a quarter of its lasting tasks, while
-// others had; dealt over all cells, each loses six in a hundred. Each workflow has a home,
-// by its id.
+// Decisions for one cell consider all its workers for each task, and all its orders, polls and commits
+// go over one host's link: a thousand workers and thousands of starts a second exceed both. A cell has
+// whole racks, and of each data centre as many as any other cell: when 66 of 220 workers of one data
+// centre were removed, a cell with only those workers had no room for a quarter of its lasting tasks,
+// while other cells had; divided among all cells, each loses six in a hundred. Each workflow has a
+// home cell, which follows from its id.
 package partitioner
 
 import (
@@ -24,20 +23,20 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Layout says which cells there are and which racks each of them has. The number of
-// cells and the cell of a rack never change; racks are added.
+// Layout says which cells there are and which racks belong to each of them. The number of cells and
+// the cell of a rack never change; racks are added.
 type Layout struct {
 	Cells int
 	Racks map[RackKey]cottonlanding.CellNumber
 }
 
-// RackKey names a rack among those of all data centres.
+// RackKey identifies a rack among those of all data centres.
 type RackKey string
 
-// errBadLayout reports a layout that can't be used.
-var errBadLayout = errors.New("no layout")
+// errBadLayout reports an invalid layout.
+var errBadLayout = errors.New("invalid layout")
 
-// Decode reads a layout.
+// Decode reads and checks a layout.
 func Decode(data []byte) (Layout, error) {
 	var out Layout
 	if err := json.Unmarshal(data, &out); err != nil {
@@ -63,12 +62,12 @@
 	return data
 }
 
-// Home returns the cell that knows of a workflow.
+// Home returns the home cell of a workflow.
 func (l Layout) Home(id cottonlanding.WorkflowID) cottonlanding.CellNumber {
 	return cottonlanding.CellNumber(xxhash.Sum64String(string(id)) % uint64(l.Cells))
 }
 
-// Workers returns those of a cell.
+// Workers returns those of the workers that belong to a cell.
 func (l Layout) Workers(all []cottonlanding.WorkerInfo, cell cottonlanding.CellNumber) []cottonlanding.WorkerInfo {
 	var out []cottonlanding.WorkerInfo
 	for _, info := range all {
@@ -79,8 +78,8 @@
 	return out
 }
 
-// CellDataCentre returns the data centre of a cell's racks, and false if they are of several or
-// there are none.
+// CellDataCentre returns the data centre of a cell's racks, and false if they are in several or there
+// are none.
 func (l Layout) CellDataCentre(cell cottonlanding.CellNumber) (cottonlanding.DataCentre, bool) {
 	dataCentre, found := "", false
 	for key, at := range l.Racks {
@@ -96,23 +95,22 @@
 	return cottonlanding.DataCentre(dataCentre), found
 }
 
-// rackSeparator stands between the data centre and the rack in a key.
+// rackSeparator separates the data centre and the rack in a key.
 const rackSeparator = "/"
 
-// keyOf returns the rack of a worker. Workers that name no rack share one in each data
-// centre.
+// keyOf returns the key of a worker's rack. Workers that name no rack share one in each data centre.
 func keyOf(info cottonlanding.WorkerInfo) RackKey {
 	return RackKey(string(info.DataCentre) + rackSeparator + string(info.Rack))
 }
 
-// rack is one rack with its workers.
+// rack is one rack with the number of its workers.
 type rack struct {
 	key        RackKey
 	dataCentre cottonlanding.DataCentre
 	workers    int
 }
 
-// racksOf returns the racks of all workers in an order that repeats.
+// racksOf returns the racks of all workers in a deterministic order.
 func racksOf(workers []cottonlanding.WorkerInfo) []rack {
 	found := make(map[RackKey]*rack)
 	for _, info := range workers {
@@ -130,8 +128,7 @@
 	return out
 }
 
-// Divide makes the first layout. A cell should have about perCell workers, and one at
-// least.
+// Divide returns the first layout. It has at least one cell, and about perCell workers in each.
 func Divide(workers []cottonlanding.WorkerInfo, perCell int) Layout {
 	racks := racksOf(workers)
 	out := Layout{Cells: max(1, roundedQuotient(len(workers), max(perCell, 1))), Racks: make(map[RackKey]cottonlanding.CellNumber)}
@@ -143,8 +140,8 @@
 
 func roundedQuotient(workers, perCell int) int { return (2*workers + perCell) / (2 * perCell) }
 
-// Extend returns the layout with the racks of workers that it lacks, and whether there
-// were any. A new rack goes to the smallest cell.
+// Extend returns the layout with those racks of the workers added that it lacks, and whether there
+// were any. A new rack goes to the cell with the fewest workers.
 func (l Layout) Extend(workers []cottonlanding.WorkerInfo) (Layout, bool) {
 	sizes := make([]int, l.Cells)
 	var missing []rack
--- a/internal/workflow/partitioner/layout_test.go
+++ b/internal/workflow/partitioner/layout_test.go
@@ -12,7 +12,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/partitioner"
 )
 
-// deployment returns workers, so many to a rack, for each data centre as many as told.
+// deployment returns the given number of workers for each data centre, with perRack of them to a rack.
 func deployment(perRack int, dataCentres ...int) []cottonlanding.WorkerInfo {
 	var out []cottonlanding.WorkerInfo
 	for at, workers := range dataCentres {
@@ -27,9 +27,9 @@
 	return out
 }
 
-// TestCellsLoseDataCentresEvenly divides deployments of several sizes by 250 workers a cell, as a
-// large host asks for. Small ones stay whole. Of large ones each data centre may lose a third
-// of its workers, or all, and no cell loses much more than the others.
+// TestCellsLoseDataCentresEvenly guards against cells that depend on one data centre. Deployments of
+// several sizes are divided by 250 workers a cell, as a large host asks for; small ones stay whole. A
+// data centre may lose a third of its workers, or all, and no cell loses much more than the others.
 func TestCellsLoseDataCentresEvenly(t *testing.T) {
 	for _, one := range []struct {
 		workers []cottonlanding.WorkerInfo
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestLayoutIsPartition checks on drawn deployments that each worker is in one cell, that cells are
-// of about the size asked for, and that new racks move no worker.
+// TestLayoutIsPartition guards, on random deployments, against workers in no cell or in two, cells
+// much larger than requested, and new racks that move workers.
 func TestLayoutIsPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 400), 1, 6).Draw(t, "sizes")
@@ -76,7 +76,7 @@
 		require.NoError(t, err)
 		require.Equal(t, layout, decoded)
 
-		grown := make([]int, len(sizes)+rapid.IntRange(0, 2).Draw(t, "more places"))
+		grown := make([]int, len(sizes)+rapid.IntRange(0, 2).Draw(t, "more data centres"))
 		for at := range grown {
 			if at < len(sizes) {
 				grown[at] = sizes[at]
@@ -108,6 +108,7 @@
 	require.Len(t, seen, len(workers))
 }
 
+// TestHomeDistribution guards against homes that give some cells far more workflows than others.
 func TestHomeDistribution(t *testing.T) {
 	layout := partitioner.Layout{Cells: 5}
 	counts := make([]int, layout.Cells)
@@ -119,6 +120,8 @@
 	}
 }
 
+// TestDecodeRejectsBadLayouts guards against layouts without cells, or with racks in cells that don't
+// exist.
 func TestDecodeRejectsBadLayouts(t *testing.T) {
 	for _, data := range []string{``, `{`, `[]`, `{"Cells":0}`, `{"Cells":2,"Racks":{"d/r":2}}`, `{"Cells":2,"Racks":{"d/r":-1}}`} {
 		_, err := partitioner.Decode([]byte(data))
