--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -9,10 +9,10 @@
 	"github.com/cottonlanding/cottonlanding/internal/platform/keeper"
 )
 
-// A process seizes a cell, writes under its guard, and loses it to another: its
-// next write is refused, whatever it believes.
+// A process seizes a cell, writes under its guard, and loses the cell to another
+// process. Its next write is rejected, even though it hasn't noticed the loss.
 func Example() {
-	table := keeper.New() // your adapter of the platform's table
+	table := keeper.New() // use your own adapter of the platform's table here
 	clock := cottonlanding.NewClock()
 	ctx := context.Background()
 	seizer := coordination.NewSeizer(table)
--- a/internal/coordination/committer/committer.go
+++ b/internal/coordination/committer/committer.go
@@ -1,12 +1,12 @@
-// Package committer joins the writes of many proposers into few transactions of
-// the platform's table, and finds out what became of a transaction whose answer
-// was lost.
+// Package committer implements group commit: it combines the writes of many
+// proposers into few transactions of the platform's table, and determines the
+// outcome of a transaction whose answer was lost.
 //
-// Each committer owns one lane row, which every one of its transactions
-// replaces. The lane makes the transactions strictly serial: a copy that was
-// delayed on its way finds another version and has no effect. The lane row also
-// carries the id of the last transaction that took effect, which settles a lost
-// answer with one read.
+// Each committer owns a lane row, which each of its transactions replaces. The
+// lane makes the transactions strictly serial: a duplicate that was delayed on
+// the network finds another version of the row and has no effect. The lane row
+// also holds the id of the last transaction that took effect, so that one read
+// resolves a lost answer.
 package committer
 
 import (
@@ -37,13 +37,13 @@
 	Checks []cottonlanding.Check
 	Writes []cottonlanding.Write
 	// Done is called once with the result, on the committer's goroutine; it
-	// must not block. The error is nil, ErrConflict, or ErrUnavailable if the
-	// committer was closed before it sent the proposal, or ErrAmbiguous if it
-	// was closed before it learnt the outcome.
+	// must not block. The error is nil, ErrConflict, ErrUnavailable if the
+	// committer was closed and the proposal had no effect, or ErrAmbiguous if
+	// it was closed before the outcome was known.
 	Done func(cottonlanding.Receipt, error)
 }
 
-// Committer sends proposals in groups.
+// Committer commits proposals in groups, one transaction at a time.
 type Committer struct {
 	table     cottonlanding.Table
 	clock     cottonlanding.Clock
@@ -58,7 +58,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// laneVersion is used by the committer's goroutine only.
+	// laneVersion and pending are used by the committer's goroutine only.
 	laneVersion cottonlanding.Version
 	pending     []Proposal
 
@@ -74,41 +74,42 @@
 	resent       atomic.Int64
 }
 
-// State is a committer's dump.
+// State is a Committer's state for diagnostics.
 type State struct {
 	Lane cottonlanding.Key
 	Ring buffer.State
-	// Stalled tells that the table can't be reached at present.
+	// Stalled is whether the last call of the table failed.
 	Stalled      bool
 	Transactions int64
 	Proposals    int64
 	Conflicts    int64
-	// LostAnswers counts transactions whose answer was lost.
+	// LostAnswers is the number of sends whose answer was lost.
 	LostAnswers int64
-	// Resent counts transactions that were sent more than once.
+	// Resent is the number of repeated sends of a transaction.
 	Resent int64
 }
 
 // Option changes a committer's defaults.
 type Option func(*Committer)
 
-// WithSpacing sets the least time between two transactions; a transaction after
-// a longer idle time is sent at once.
+// WithSpacing sets the minimum time between two transactions, 20 ms by default.
+// A proposal that comes after a longer idle time is sent at once.
 func WithSpacing(spacing cottonlanding.Millis) Option {
 	return func(c *Committer) { c.SetSpacing(spacing) }
 }
 
-// WithMaxWrites bounds the row writes of one transaction.
+// WithMaxWrites limits the row writes of one transaction, to 500 by default. A
+// single proposal with more writes is still sent.
 func WithMaxWrites(maxWrites int) Option {
 	return func(c *Committer) { c.maxWrites = maxWrites }
 }
 
-// WithTimeout bounds one call of the table.
+// WithTimeout limits the duration of one call of the table, to 2 s by default.
 func WithTimeout(timeout cottonlanding.Millis) Option {
 	return func(c *Committer) { c.timeout = timeout }
 }
 
-// New starts a committer on a lane that no one has ever used before.
+// New starts a Committer with a lane row that must never have been used before.
 func New(table cottonlanding.Table, clock cottonlanding.Clock, lane cottonlanding.Key, options ...Option) *Committer {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Committer{
@@ -131,14 +132,14 @@
 	return c
 }
 
-// SetSpacing changes the least time between two transactions, so that many
-// processes can share what the table can bear.
+// SetSpacing changes the minimum time between two transactions, so that many
+// processes can share the table's capacity.
 func (c *Committer) SetSpacing(spacing cottonlanding.Millis) { c.spacing.Store(int64(spacing)) }
 
 func (c *Committer) spacingNow() cottonlanding.Millis { return cottonlanding.Millis(c.spacing.Load()) }
 
-// Propose queues a proposal. It returns ErrBusy, and never calls Done, if the
-// queue is full.
+// Propose queues a proposal. It returns ErrBusy if the queue is full and
+// ErrUnavailable after Close, and doesn't call Done then.
 func (c *Committer) Propose(proposal Proposal) error {
 	select {
 	case <-c.stop:
@@ -151,11 +152,11 @@
 	return nil
 }
 
-// Stalled reports whether the last call of the table failed, so that what is
-// proposed now will have to wait for the table to come back.
+// Stalled reports whether the last call of the table failed, so that new
+// proposals have to wait until the table is back.
 func (c *Committer) Stalled() bool { return c.stalled.Load() }
 
-// State returns the dump.
+// State returns the state for diagnostics.
 func (c *Committer) State() State {
 	return State{
 		Lane:         c.lane,
@@ -169,7 +170,8 @@
 	}
 }
 
-// Close sends what is queued, waits for it until ctx ends, and then gives up.
+// Close commits the queued proposals. If ctx ends first, it ends the remaining
+// ones with an error.
 func (c *Committer) Close(ctx context.Context) {
 	close(c.stop)
 	select {
@@ -193,8 +195,9 @@
 	}
 }
 
-// nextGroup waits for the first proposal, lets others join until the spacing is
-// over, and returns those that can go into one transaction, or nil at the end.
+// nextGroup waits for a proposal and for the end of the spacing after last, and
+// returns the proposals that can share one transaction, or nil once the
+// committer is closed and has none left.
 func (c *Committer) nextGroup(last cottonlanding.Millis) []Proposal {
 	if len(c.pending) == 0 && !c.awaitFirst() {
 		return nil
@@ -206,7 +209,8 @@
 	return c.selectCompatible()
 }
 
-// awaitFirst blocks until a proposal is held; false means closed and empty.
+// awaitFirst waits for a proposal and adds it to pending. It returns false if
+// the committer is closed and the queue is empty.
 func (c *Committer) awaitFirst() bool {
 	select {
 	case proposal := <-c.ring.Items():
@@ -234,8 +238,9 @@
 	}
 }
 
-// selectCompatible takes proposals in order while they touch different rows and fit the
-// bound; the others stay held for the next transaction.
+// selectCompatible returns the pending proposals that write different rows and
+// fit into one transaction; the others stay pending. Proposals that write the
+// same row keep their order.
 func (c *Committer) selectCompatible() []Proposal {
 	usedKeys := make(map[cottonlanding.Key]bool)
 	var picked, rest []Proposal
@@ -270,7 +275,7 @@
 	}
 }
 
-// commit sends a group until its outcome is known.
+// commit sends a group until the outcome of each proposal is known.
 func (c *Committer) commit(group []Proposal) {
 	c.counts.proposals.Add(int64(len(group)))
 	for len(group) > 0 {
@@ -312,9 +317,9 @@
 	return out
 }
 
-// dropConflicting ends the proposals whose expectations no longer hold and
-// returns the others. Versions are never used twice, so that what fails now
-// would fail for ever.
+// dropConflicting ends the proposals whose expected versions have changed and
+// returns the others. Versions are never reused, so a proposal that fails now
+// would always fail.
 func (c *Committer) dropConflicting(group []Proposal) []Proposal {
 	versions, err := c.versions(group)
 	if err != nil {
@@ -350,8 +355,9 @@
 	return nil
 }
 
-// versions reads the present versions of the lane and of all rows that the
-// group names; an absent row has version 0.
+// versions returns the present versions of the lane and of all rows whose
+// version the group expects; absent rows are missing from the map, which reads
+// as version 0. It retries until the read succeeds or the committer is closed.
 func (c *Committer) versions(group []Proposal) (map[cottonlanding.Key]cottonlanding.Version, error) {
 	keys := []cottonlanding.Key{c.lane}
 	for _, proposal := range group {
@@ -381,7 +387,7 @@
 	}
 }
 
-// sleep waits and reports whether the committer goes on.
+// sleep waits for span and reports whether the committer is still running.
 func (c *Committer) sleep(span cottonlanding.Millis) bool {
 	pauser.Pause(c.ctx, span)
 	return c.ctx.Err() == nil
--- a/internal/coordination/committer/committer_test.go
+++ b/internal/coordination/committer/committer_test.go
@@ -23,19 +23,20 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
-		_ = flag.Set("rapid.seed", "20261202") // the same verdict every time
+		_ = flag.Set("rapid.seed", "20261202") // a fixed seed, so that runs are reproducible
 	}
 	os.Exit(m.Run())
 }
 
-// step is one drawn action: wait, then add one to one of few counters.
+// step is one generated action: wait, then write one of a few rows, through the
+// committer or as a rival.
 type step struct {
 	wait    time.Duration
 	counter int
 	byRival bool
 }
 
-// script is what one run does, drawn before it starts.
+// script holds the actions and faults of one run.
 type script struct {
 	steps []step
 	fates []faulter.Fate
@@ -57,7 +58,7 @@
 	return s
 }
 
-// outcome is what the oracle knows of one proposal.
+// outcome is the result of one proposal as its proposer saw it.
 type outcome struct {
 	write cottonlanding.Write
 	value string
@@ -65,13 +66,13 @@
 	err   error
 }
 
-// baseState is a state of a row that a write built on.
+// baseState is the state of a row that a write replaces.
 type baseState struct {
 	key     cottonlanding.Key
 	version cottonlanding.Version
 }
 
-// history records every value that a key ever had.
+// history counts how often each value was committed.
 type history struct {
 	*keeper.Keeper
 	mu     sync.Mutex
@@ -90,8 +91,9 @@
 	return receipt, err
 }
 
-// TestProposalTakesEffectAtMostOnce compares what proposers were told with
-// what the table went through, under lost answers and late copies.
+// TestProposalTakesEffectAtMostOnce guards against proposals that take effect
+// twice, or whose reported result differs from what the table did, when answers
+// are lost and copies of transactions arrive late.
 func TestProposalTakesEffectAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScript(rt)
@@ -102,16 +104,16 @@
 		for _, o := range outcomes {
 			base := baseState{o.write.Key, o.write.Expect}
 			if o.err == nil {
-				require.Empty(rt, successors[base], "%s and %s replaced the same state of %s", successors[base], o.value, base.key)
+				require.Empty(rt, successors[base], "%s and %s replaced the same version of %s", successors[base], o.value, base.key)
 				successors[base] = o.value
 			}
-			require.Equal(rt, 1, o.calls, "%s was answered %d times", o.value, o.calls)
+			require.Equal(rt, 1, o.calls, "Done was called for %s %d times", o.value, o.calls)
 			effects := h.values[o.value]
 			switch {
 			case o.err == nil:
 				require.Equal(rt, 1, effects, "%s was committed and took effect %d times", o.value, effects)
 			case errors.Is(o.err, cottonlanding.ErrConflict), errors.Is(o.err, cottonlanding.ErrUnavailable):
-				require.Zero(rt, effects, "%s was refused with %v and took effect", o.value, o.err)
+				require.Zero(rt, effects, "%s failed with %v and took effect", o.value, o.err)
 			}
 		}
 	})
@@ -127,7 +129,7 @@
 		write := cottonlanding.Write{Key: key, Expect: versionOf(h, key), Value: []byte(value)}
 		o := &outcome{write: write, value: value}
 		if st.byRival {
-			_, _ = h.Commit(context.Background(), cottonlanding.Transaction{Writes: []cottonlanding.Write{write}}) // a rival
+			_, _ = h.Commit(context.Background(), cottonlanding.Transaction{Writes: []cottonlanding.Write{write}})
 			continue
 		}
 		proposal := committer.Proposal{Writes: []cottonlanding.Write{write}, Done: func(_ cottonlanding.Receipt, err error) {
@@ -141,7 +143,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	c.Close(ctx)
-	time.Sleep(10 * time.Second) // late copies arrive
+	time.Sleep(10 * time.Second) // until delayed copies have arrived
 	return outcomes
 }
 
@@ -153,6 +155,8 @@
 	return rows[0].Version
 }
 
+// TestProposalsShareTransactions guards against a transaction per proposal,
+// which would overload the table.
 func TestProposalsShareTransactions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := keeper.New()
@@ -168,10 +172,12 @@
 		}
 		c.Close(context.Background())
 		require.Equal(t, 1000, done)
-		require.LessOrEqual(t, table.Counts().Commits, int64(12), "a second of proposals, 100 ms apart")
+		require.LessOrEqual(t, table.Counts().Commits, int64(12), "one second of proposals with a spacing of 100 ms")
 	})
 }
 
+// TestIdleCommitterSendsAtOnce guards against a proposal that waits for the
+// spacing although the last transaction is longer ago.
 func TestIdleCommitterSendsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := committer.New(keeper.New(), cottonlanding.NewClock(), "Lane", committer.WithSpacing(200))
@@ -188,6 +194,8 @@
 	})
 }
 
+// TestCloseReportsOutcome guards against a Close that loses proposals or blocks
+// while the table is unreachable.
 func TestCloseReportsOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := faulter.NewTable(keeper.New(), func() faulter.Fate { return faulter.Unreachable })
@@ -205,6 +213,8 @@
 	})
 }
 
+// TestSpacingIncreases guards against a SetSpacing that has no effect on a
+// running committer.
 func TestSpacingIncreases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := keeper.New()
--- a/internal/coordination/committer/resolve.go
+++ b/internal/coordination/committer/resolve.go
@@ -8,8 +8,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// resolve sends one transaction until it took effect or never can. The error is
-// ErrConflict, or what Proposal.Done tells of a closed committer.
+// resolve sends one transaction until it has taken effect or can't take effect
+// any more. The error is ErrConflict, or after Close one of those of
+// Proposal.Done.
 func (c *Committer) resolve(transaction cottonlanding.Transaction) (cottonlanding.Receipt, error) {
 	c.counts.transactions.Add(1)
 	retryInterval := minRetryInterval
@@ -50,7 +51,7 @@
 
 func (c *Committer) closedError(ambiguous bool) error {
 	if ambiguous {
-		return fmt.Errorf("committer closed while in doubt: %w", cottonlanding.ErrAmbiguous)
+		return fmt.Errorf("committer closed before the outcome was known: %w", cottonlanding.ErrAmbiguous)
 	}
 	return fmt.Errorf("committer closed: %w", cottonlanding.ErrUnavailable)
 }
@@ -61,8 +62,8 @@
 	return c.table.Commit(ctx, transaction)
 }
 
-// resolveConflict settles a conflict that may be due to an earlier copy of the same
-// transaction.
+// resolveConflict determines the outcome after a conflict that may be due to an
+// earlier copy of the same transaction, by a read of the lane.
 func (c *Committer) resolveConflict(id cottonlanding.TransactionID) (cottonlanding.Receipt, error) {
 	retryInterval := minRetryInterval
 	for {
@@ -80,6 +81,8 @@
 	}
 }
 
+// findCommitted returns the receipt of a transaction if the lane shows that it
+// took effect. False doesn't mean that it never will.
 func (c *Committer) findCommitted(id cottonlanding.TransactionID) (cottonlanding.Receipt, bool) {
 	row, err := c.readLane()
 	if err != nil || row.Transaction != id {
--- a/internal/coordination/follower/export_test.go
+++ b/internal/coordination/follower/export_test.go
@@ -1,10 +1,10 @@
 package follower
 
-// Head is the value of the head row, for tests of the format.
+// Head is head, for tests of the row format.
 type Head = head
 
-// HeadKey names the head row.
+// HeadKey is headKey, for tests of the row format.
 const HeadKey = headKey
 
-// GenerationKey is generationKey for tests of the format.
+// GenerationKey is generationKey, for tests of the row format.
 var GenerationKey = generationKey
--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -1,9 +1,9 @@
 // Package follower keeps a process at the newest generation of a configuration
 // that all processes share through the platform's table.
 //
-// A generation is accepted once its row is committed. A follower only ever
-// moves to a higher generation; it learns of one from the table or, while that
-// can't be reached, from another process.
+// A generation is accepted once its row is committed. A follower only moves to
+// higher generations, which it reads from the table or, while the table is
+// unreachable, receives from another process.
 package follower
 
 import (
@@ -23,7 +23,7 @@
 	headKey           cottonlanding.Key = "Config/Head"
 	generationsPrefix cottonlanding.Key = "Config/Generations/"
 	readTimeout                         = 2 * cottonlanding.Second
-	// retainedGenerations is how many generations stay readable in the table.
+	// retainedGenerations is the number of generations that stay in the table.
 	retainedGenerations = 20
 )
 
@@ -39,7 +39,7 @@
 	Text       []byte
 }
 
-// Conflict reports an apply against a generation that is no longer the newest.
+// Conflict is the error of an Apply whose expected generation isn't the newest.
 type Conflict struct {
 	Expected cottonlanding.Generation
 	Current  Snapshot
@@ -50,10 +50,10 @@
 	return fmt.Sprintf("generation %d is in force, not %d", c.Current.Generation, c.Expected)
 }
 
-// Unwrap makes a Conflict an ErrConflict.
+// Unwrap returns ErrConflict.
 func (c *Conflict) Unwrap() error { return cottonlanding.ErrConflict }
 
-// Follower follows the configuration.
+// Follower follows and changes the configuration.
 type Follower struct {
 	table     cottonlanding.Table
 	committer *committer.Committer
@@ -67,36 +67,38 @@
 	duty *repeater.Repeater
 }
 
-// State is a follower's dump.
+// State is a Follower's state for diagnostics.
 type State struct {
 	Generation cottonlanding.Generation
 	Polls      int64
 	Failures   int64
 }
 
-// New starts a follower that reads the table each poll and calls changed, never
-// twice at a time, with each newer generation that it sees.
+// New starts a Follower that reads the table at intervals of poll and calls
+// changed with each newer generation that it sees. Calls of changed don't
+// overlap, and changed must not call the Follower.
 func New(table cottonlanding.Table, committer *committer.Committer, poll cottonlanding.Millis, changed func(Snapshot)) *Follower {
 	f := &Follower{table: table, committer: committer, changed: changed}
 	f.duty = repeater.New(poll, f.refresh)
 	return f
 }
 
-// Current returns the newest generation seen.
+// Current returns the newest generation that was seen.
 func (f *Follower) Current() Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current
 }
 
-// State returns the dump.
+// State returns the state for diagnostics.
 func (f *Follower) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return State{Generation: f.current.Generation, Polls: f.polls, Failures: f.failures}
 }
 
-// Offer takes in a generation that another process has seen accepted.
+// Offer accepts a generation that another process has seen accepted. It has no effect if the generation
+// isn't newer than the current one.
 func (f *Follower) Offer(snapshot Snapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +112,7 @@
 // Nudge makes the follower read the table at once.
 func (f *Follower) Nudge() { f.duty.Nudge() }
 
-// Close ends the follower.
+// Close stops the follower.
 func (f *Follower) Close() { f.duty.Close() }
 
 func (f *Follower) refresh(ctx context.Context) {
@@ -152,11 +154,12 @@
 	return value.Generation, rows[0].Version, nil
 }
 
-// Apply makes text the configuration that follows the generation expected. A
-// text that is in force already as the one after expected is a success: the
-// operator is repeating an apply whose answer was lost. The error is a
-// *Conflict if another generation came first, ErrUnavailable if nothing was
-// written, or ErrAmbiguous if ctx ended before the outcome was known.
+// Apply makes text the configuration that follows the generation expected, and
+// returns its generation. If text is already in force as the generation after
+// expected, it succeeds: the operator repeats an Apply whose answer was lost.
+// The error is a *Conflict if another generation came first, ErrBusy or
+// ErrUnavailable if nothing was written, or ErrAmbiguous if ctx ended or the
+// committer was closed before the outcome was known.
 func (f *Follower) Apply(ctx context.Context, text []byte, expected cottonlanding.Generation) (cottonlanding.Generation, error) {
 	generation, version, err := f.readHead(ctx)
 	if err != nil {
@@ -212,7 +215,8 @@
 	return writes, nil
 }
 
-// resolveRace finds out whether the text itself or another one came first.
+// resolveRace reads which text came first: it returns the generation after expected if that has the
+// given text, and a *Conflict otherwise.
 func (f *Follower) resolveRace(ctx context.Context, text []byte, expected cottonlanding.Generation) (cottonlanding.Generation, error) {
 	newest, _, err := f.readHead(ctx)
 	if err != nil {
--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -23,7 +23,7 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
-		_ = flag.Set("rapid.seed", "20261202") // the same verdict every time
+		_ = flag.Set("rapid.seed", "20261202") // a fixed seed, so that runs are reproducible
 	}
 	os.Exit(m.Run())
 }
@@ -33,29 +33,31 @@
 	poll  = 500 * cottonlanding.Millis(1)
 )
 
-// apply is one operator's try, at one host against the generation seen there
-// some time ago.
+// apply is one operator's call of Apply on one host, which expects the
+// generation known there or, with an age, an earlier one.
 type apply struct {
 	wait time.Duration
 	host int
 	age  cottonlanding.Generation
 }
 
-// result is what an operator was told.
+// result is the result of one Apply.
 type result struct {
 	text       string
 	generation cottonlanding.Generation
 	err        error
 }
 
-// observed is what one host put in force, in order.
+// observed holds the generations that one host put in force, in order.
 type observed struct {
 	generations []cottonlanding.Generation
 	texts       map[cottonlanding.Generation]string
 }
 
-// TestAcceptedConfigurationsStayLinear races operators on hosts whose
-// table loses answers, delays writes and fails.
+// TestAcceptedConfigurationsStayLinear guards against hosts that return to an
+// earlier configuration or hold different texts for one generation, when
+// operators apply configurations at the same time and the table loses answers,
+// delays writes and fails.
 func TestAcceptedConfigurationsStayLinear(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var applies []apply
@@ -112,7 +114,7 @@
 	for range applies {
 		<-done
 	}
-	time.Sleep(time.Minute) // all faults are over; everyone catches up
+	time.Sleep(time.Minute) // until all faults are over and all hosts have caught up
 	for i := range hosts {
 		followers[i].Close()
 		committers[i].Close(context.Background())
@@ -146,12 +148,14 @@
 			require.Equal(t, r.text, texts[r.generation], "an accepted text is not in force as generation %d", r.generation)
 		case errors.Is(r.err, cottonlanding.ErrConflict), errors.Is(r.err, cottonlanding.ErrUnavailable):
 			for generation, text := range texts {
-				require.NotEqual(t, r.text, text, "a refused text is in force as generation %d: %v", generation, r.err)
+				require.NotEqual(t, r.text, text, "a rejected text is in force as generation %d: %v", generation, r.err)
 			}
 		}
 	}
 }
 
+// TestOfferIgnoresOlderGenerations guards against a host that returns to an
+// older generation which a peer sends it.
 func TestOfferIgnoresOlderGenerations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := faulter.NewTable(keeper.New(), func() faulter.Fate { return faulter.Unreachable })
--- a/internal/coordination/follower/golden_test.go
+++ b/internal/coordination/follower/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/golden/comparer"
 )
 
-// TestGoldenRows guards against a configuration that hosts of another version don't find.
+// TestGoldenRows guards against hosts of two versions that can't find each other's configurations.
 func TestGoldenRows(t *testing.T) {
 	encode := func(value any) []byte {
 		data, err := json.Marshal(value)
--- a/internal/coordination/holder/ended_test.go
+++ b/internal/coordination/holder/ended_test.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// leaseRemaining is what a lease of service has left when its owner is killed: it lasts six seconds and is renewed
-	// each quarter of that.
+	// leaseRemaining is the least that a worker's lease has left when the owner of its cell is
+	// killed: leases last six seconds and are renewed every quarter of that.
 	leaseRemaining = 4500 * cottonlanding.Millis(1)
-	// callsBeforeRenewal is how many calls of the table a new owner makes one after the other before it renews leases:
-	// two for the fence, two for the rows.
+	// callsBeforeRenewal is how many sequential calls of the table a new owner makes before it
+	// renews leases: two for the fence, two for the rows.
 	callsBeforeRenewal = 4
-	// detectionDelay is how long after a process was killed those that watch it know.
+	// detectionDelay is the time from the end of a process until those that watch it know of it.
 	detectionDelay = 60 * time.Millisecond
 )
 
-// delayCalls makes each call of the table take a while for all processes.
+// delayCalls delays each call of the table by call, for all processes.
 func (f *fleet) delayCalls(call time.Duration) {
 	for _, p := range f.processes {
 		p.counted.set(func(t *table) { t.delayCalls = call })
 	}
 }
 
-// kill ends a process, and two others come to know that it has ended.
+// kill ends a process and reports its end to two others.
 func (f *fleet) kill(number int) {
 	killed := f.processes[number]
 	versions := make([]cottonlanding.Version, f.cells)
@@ -49,10 +49,10 @@
 	}
 }
 
-// TestOwnersReplacedBeforeLeasesExpire: with a slow table a killed owner was missed only once its last beat was over
-// four seconds old, so that its workers' leases ran out and every lasting task of its cells was interrupted.
-// However long calls take up to 400 ms, and whenever the owner is killed, the next one renews leases
-// before they run out.
+// TestOwnersReplacedBeforeLeasesExpire guards against a killed owner that is replaced too late while the
+// table is slow: if others wait until its last beat is four seconds old, its workers' leases expire and
+// all lasting tasks of its cells are interrupted. Calls take up to 400 ms, and the owner is killed at
+// different instants of its poll.
 func TestOwnersReplacedBeforeLeasesExpire(t *testing.T) {
 	for _, call := range []cottonlanding.Millis{4, 149, 170, 300, 400} {
 		for instant := range 8 {
@@ -76,17 +76,18 @@
 						}
 						without := f.clock.Now() - killedAt + callsBeforeRenewal*call
 						longest = max(longest, without)
-						require.Less(t, without, leaseRemaining, "%d cells have no owner", missing)
+						require.Less(t, without, leaseRemaining, "%d cells without an owner", missing)
 					}
-					t.Logf("renewed after %s", longest)
+					t.Logf("leases renewed after %s", longest)
 				})
 			})
 		}
 	}
 }
 
-// TestLiveOwnerMarkedEndedKeepsCell: a host may refuse connections while its process owns cells. Its beats go on, and nobody
-// takes its cells for longer than the table refuses that.
+// TestLiveOwnerMarkedEndedKeepsCell guards against a live owner that loses its cell because its host
+// refuses connections and is reported to have ended: its beats continue, and the table rejects the
+// take-overs.
 func TestLiveOwnerMarkedEndedKeepsCell(t *testing.T) {
 	simulateFleet(t, 6, 8, 2, func(f *fleet) {
 		const cell = 0
@@ -99,7 +100,7 @@
 		}
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
-			f.owner(cell) // there is one at most
+			f.owner(cell) // fails if there are two
 		}
 		require.Equal(t, before.Owner, f.processes[owner].holders[cell].View().Owner)
 	})
--- a/internal/coordination/holder/fleet_test.go
+++ b/internal/coordination/holder/fleet_test.go
@@ -15,11 +15,11 @@
 	"github.com/cottonlanding/cottonlanding/internal/platform/keeper"
 )
 
-// fleetTiming has the spans of service: most processes leave the cells to larger ones.
+// fleetTiming is the timing of a deployment in which most processes leave the cells to larger ones.
 var fleetTiming = holder.Timing{TTL: 1200, SlowTTL: 4000, SlowCall: 150, Poll: 300, RestPoll: 600, DelayPerOwned: 250, Timeout: 600, SlowTimeout: 2500,
 	Jitter: 250, SlowJitter: 2000, SmallShareDelay: 900, SlowSmallShareDelay: 2000, FirstOwnerDelay: 2000, Reclaim: true, RestartGrace: 600}
 
-// counted counts what a process asks of its table.
+// counted counts a process's calls of its table and the rows that they return.
 type counted struct {
 	table
 	calls, rows atomic.Int64
@@ -42,7 +42,7 @@
 	return rows, err
 }
 
-// countedFeed counts calls and rows of the feed.
+// countedFeed counts a process's calls of the feed and the rows that they return.
 type countedFeed struct {
 	feed
 	count *counted
@@ -55,13 +55,13 @@
 	return update, err
 }
 
-// process is one of many that take part in all cells.
+// process is one of many processes, with a holder for each cell.
 type process struct {
 	clock   cottonlanding.Clock
 	counted *counted
 	watcher *holder.Watcher
 	holders []*holder.Holder
-	// cellsKnown says that the process takes calls, reports that it tells of its cells.
+	// cellsKnown is whether the process knows all cells, reports whether it reports its own.
 	cellsKnown, reports atomic.Bool
 }
 
@@ -119,7 +119,7 @@
 	return p
 }
 
-// fleet is some large processes and many small ones.
+// fleet is a deployment of large and small processes.
 type fleet struct {
 	t         *testing.T
 	clock     cottonlanding.Clock
@@ -128,10 +128,10 @@
 	processes []*process
 }
 
-// startGap is the time between the starts of two processes, so that not all poll at one instant.
+// startGap is the time between the starts of two processes, so that they don't all poll at once.
 const startGap = 7 * time.Millisecond
 
-// simulateFleet starts a fleet and lets it settle.
+// simulateFleet starts a fleet, waits until all cells have owners, and runs test on it.
 func simulateFleet(t *testing.T, cells, large, small int, test func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		clock, store := cottonlanding.NewClock(), keeper.New()
@@ -156,7 +156,7 @@
 	})
 }
 
-// owner returns the process that owns a cell, or -1; there may be one at most.
+// owner returns the number of the process that owns a cell, or -1. It fails the test if there are two.
 func (f *fleet) owner(cell int) int {
 	found := -1
 	for at, p := range f.processes {
@@ -168,7 +168,8 @@
 	return found
 }
 
-// requireOwned checks that each cell has an owner among the first processes, which all know.
+// requireOwned requires that each cell has an owner among the first processes, and that all processes
+// that reach the table know it.
 func (f *fleet) requireOwned(among int) {
 	for cell := range f.cells {
 		at := f.owner(cell)
@@ -182,10 +183,10 @@
 	}
 }
 
-// TestIdleReadsIndependentOfCellCount is the growth of what a process without a cell asks of
-// the table. However many cells there are, it is to make two calls a second at most, and to read
-// less than 1 kB a second, which is six beats. Looks of one process come more often than of
-// another, by a factor of two.
+// TestIdleReadsIndependentOfCellCount guards against a load on the table that grows with the number of
+// cells. A process without a cell makes less than two calls per second and reads less than 1 kB per
+// second, which is six beats, for any number of cells. Read intervals differ by up to a factor of two
+// between processes.
 func TestIdleReadsIndependentOfCellCount(t *testing.T) {
 	const seconds, large, idle = 120, 12, 2
 	const maxCalls, maxRows = 2.0, 6.0
@@ -201,16 +202,16 @@
 			callsBefore, rowsBefore := used()
 			time.Sleep(seconds * time.Second)
 			calls, rows := used()
-			t.Logf("%d cells: %.2f calls and %.2f rows a second and process", cells, calls-callsBefore, rows-rowsBefore)
+			t.Logf("%d cells: %.2f calls and %.2f rows per second and process", cells, calls-callsBefore, rows-rowsBefore)
 			require.Less(t, calls-callsBefore, maxCalls)
 			require.Less(t, rows-rowsBefore, maxRows)
 		})
 	}
 }
 
-// TestNewOwnersKnownWithinASecond checks that a silent owner is replaced as soon as where all
-// processes look at it, and that all in touch know the new one within a second of that; also
-// with half of the owners gone, and with all.
+// TestNewOwnersKnownWithinASecond guards against cells that stay without an owner longer where only some
+// processes read each beat. All cells have owners again within twice the time for a single cell, and all
+// processes that reach the table know them a second later, after the loss of one, half or all owners.
 func TestNewOwnersKnownWithinASecond(t *testing.T) {
 	const cells, large, small = 8, 16, 6
 	for _, gone := range []int{1, cells / 2, cells} {
@@ -228,16 +229,17 @@
 				if all && f.clock.Now()-began > fleetTiming.TTL {
 					ownedAt = f.clock.Now()
 				}
-				require.Less(t, f.clock.Now()-began, 2*takeOverWithin, "%d owners are gone", gone)
+				require.Less(t, f.clock.Now()-began, 2*takeOverWithin, "%d owners lost", gone)
 			}
-			t.Logf("%d of %d owners gone: all cells are owned again after %s", gone, cells, ownedAt-began)
+			t.Logf("%d of %d owners lost: all cells have owners again after %s", gone, cells, ownedAt-began)
 			time.Sleep(time.Second)
 			f.requireOwned(large)
 		})
 	}
 }
 
-// TestSmallProcessesTakeOverLast checks that cells aren't left alone when no large process is.
+// TestSmallProcessesTakeOverLast guards against cells that stay without an owner when no large process
+// reaches the table.
 func TestSmallProcessesTakeOverLast(t *testing.T) {
 	const cells, large, small = 4, 6, 12
 	simulateFleet(t, cells, large, small, func(f *fleet) {
@@ -254,8 +256,8 @@
 	})
 }
 
-// TestTableOutageKeepsAllOwners checks that nobody takes a cell, or says that it has no owner, after an
-// outage in which no owner could write.
+// TestTableOutageKeepsAllOwners guards against changes of owner, or cleared owner rows, after outages in
+// which no owner could write a beat.
 func TestTableOutageKeepsAllOwners(t *testing.T) {
 	const cells, large, small = 6, 8, 10
 	simulateFleet(t, cells, large, small, func(f *fleet) {
@@ -279,8 +281,8 @@
 	})
 }
 
-// TestNewProcessReadsReportsOfNewOwners checks that a process that waits for the reports of all cells
-// sees that of a new owner within two polls: while it rested, its callers would wait as well.
+// TestNewProcessReadsReportsOfNewOwners guards against callers that wait for a process that reads seldom:
+// a process that waits for the reports of all cells reads that of a new owner within two polls.
 func TestNewProcessReadsReportsOfNewOwners(t *testing.T) {
 	const cells, large = 6, 10
 	simulateFleet(t, cells, large, 2, func(f *fleet) {
@@ -299,8 +301,9 @@
 	})
 }
 
-// TestIdleProcessesFollowSlowTable checks that processes that look seldom stay in touch with a slow table, as
-// closely as they must be to take calls, know that it is slow, and learn of a new owner all the same.
+// TestIdleProcessesFollowSlowTable guards against processes that read seldom and lose contact with a slow
+// table, which would make them reject calls: they hear from it within two seconds, know that it is slow,
+// and learn of a new owner.
 func TestIdleProcessesFollowSlowTable(t *testing.T) {
 	const cells, large, small = 6, 8, 6
 	const inTouch = 2 * cottonlanding.Second
@@ -326,14 +329,15 @@
 			f.processes[f.owner(2)].counted.set(func(t *table) { t.partitioned = true })
 			time.Sleep(15 * time.Second)
 			require.GreaterOrEqual(t, f.owner(2), 0)
-			time.Sleep(feedWait + 2*delayCalls) // who has just taken it is told by the next answer of the feed
+			time.Sleep(feedWait + 2*delayCalls) // the next answer of the feed names the new owner
 			f.requireOwned(large)
 		})
 	}
 }
 
-// TestFailedReadMarksTableLostForAllHolders checks that where holders look seldom, one that has looked
-// in vain is enough for all of its process to know that the table is lost, and that it is back.
+// TestFailedReadMarksTableLostForAllHolders guards against a process whose holders read seldom and notice
+// the loss of the table one after the other: after one failed read all of them report the table as
+// unreachable, and as reachable once it is back.
 func TestFailedReadMarksTableLostForAllHolders(t *testing.T) {
 	const cells = 6
 	simulateFleet(t, cells, cells+2, 2, func(f *fleet) {
@@ -352,7 +356,7 @@
 	})
 }
 
-// TestOlderRowIsIgnored checks that a row that is read late takes nothing back.
+// TestOlderRowIsIgnored guards against a row that is read late and replaces a newer version.
 func TestOlderRowIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock, store := cottonlanding.NewClock(), keeper.New()
--- a/internal/coordination/holder/holder.go
+++ b/internal/coordination/holder/holder.go
@@ -1,16 +1,16 @@
-// Package holder lets one of many processes own a cell, and tells all of them which
-// one it is. A process has a holder for each cell.
+// Package holder elects one of many processes as the owner of a cell and tells all of them which
+// one it is. Each process has a Holder per cell.
 //
-// Two rows of a partition that some cells share say it. The owner row changes with
-// each change of owner; its epoch fences all that the owner does. The table tells all
-// processes of its changes (Roll). The beat row is rewritten by a living owner; others take
-// over once it has stood still for the time to live. The owner counts that time from before
-// it sent a beat, so that it never believes in itself for longer than any other does.
+// The election uses two rows of a partition that several cells share. The owner row names the
+// owner and its epoch, which fences everything that the owner does; all processes receive its
+// changes through the table's feed (Watcher). The beat row is the owner's heartbeat: others take
+// over once it has been unchanged for its time to live. The owner counts that time from before it
+// sent the beat, so its ownership expires in its own view before it does in any other.
 //
-// Where there is one cell, all processes look at its beat. Where there are many, owners look
-// at each other's, and the other processes once in a while, so that what is looked at doesn't
-// grow with processes times cells. Who sees that an owner is gone says so in the owner row,
-// of which the table tells all; the cell goes to who has most room for it.
+// With a single cell every process reads its beat. With many cells owners read each other's beats
+// and the other processes read seldom, so that the number of reads doesn't grow with processes
+// times cells. A process that finds an owner dead clears the owner row, which the feed announces
+// to all, and the process with the most spare capacity takes the cell.
 package holder
 
 import (
@@ -34,50 +34,50 @@
 	ownerRow   = "Owner"
 	beatRow    = "Beat"
 	requestRow = "Request"
-	// maxGapPolls bounds the time that counts between two reads, in polls: a reader
-	// that was paused must not take its own pause for the owner's.
+	// maxGapPolls bounds the time counted between two reads, in polls, so that a reader that was
+	// paused doesn't attribute its own pause to the owner.
 	maxGapPolls = 3
-	// earlyReadDivisor is the part of a poll by which a look may come earlier than it is due,
-	// since steps aren't on time to the millisecond.
+	// earlyReadDivisor gives the part of a poll by which a read may come before it is due, since
+	// steps don't run on time to the millisecond.
 	earlyReadDivisor = 2
-	// restPollsPerCell is how many rest polls there are for each cell between two looks of a
-	// process that owns none: a look takes two readings of all cells, so that one with many
-	// cells reads as much as one with one cell.
+	// restPollsPerCell is the number of rest polls per cell between two checks of a process that
+	// owns no cell. To see that an owner is alive takes two reads of the beats of all cells; with
+	// this interval the rows read per second are the same for one cell and for many.
 	restPollsPerCell = 2
-	// driftMarginDivisor lengthens the time to live by 1/10 against clock drift.
+	// driftMarginDivisor extends the time to live by 1/10 to allow for clock drift.
 	driftMarginDivisor = 10
-	// releaseRetryInterval is the pause before a release that failed is tried again.
+	// releaseRetryInterval is the time between two attempts to release a cell.
 	releaseRetryInterval = 50 * cottonlanding.Millis(1)
 )
 
-// Dependencies are what a holder works with.
+// Dependencies are the parts and callbacks that a Holder uses.
 type Dependencies struct {
 	Table cottonlanding.Table
-	// Watcher tells who owns the cells, Reader reads the beats of some.
+	// Watcher holds the owner and request rows; Reader reads the beats of a partition's cells.
 	Watcher *Watcher
 	Reader  *Reader
 	Clock   cottonlanding.Clock
 	Log     *slog.Logger
-	// Changed is called from one goroutine whenever the owner changes.
+	// Changed is called on every change of owner, from a single goroutine.
 	Changed func(View)
-	// CellRequested is called from the same when a member with more room for the cell asks this
-	// owner for it, which should then Yield.
+	// CellRequested is called from the same goroutine when a member with more spare capacity
+	// requests the cell from this owner, which should then call ReleaseTo.
 	CellRequested func(Member)
-	// Owned counts the cells that this process owns, OwnedBy those of any, as far as is
-	// known here, Cells all that there are.
+	// Owned returns the number of cells that this process owns, OwnedBy the number that a given
+	// process owns as far as known here, Cells the number of all cells.
 	Owned   func() int
 	OwnedBy func(cottonlanding.SessionID) int
 	Cells   func() int
-	// CellsKnown reports whether this process has heard of all cells what it waits for before
-	// it takes calls.
+	// CellsKnown reports whether this process has received the reports of all cells, which it
+	// needs before it takes calls.
 	CellsKnown func() bool
-	// Remote reports whether the cell's workers are of another data centre than this member.
+	// Remote reports whether the cell's workers are in another data centre than this member.
 	Remote func() bool
-	// Report returns what an owner tells of its cell with each beat.
+	// Report returns the owner's report of its cell, which is written with each beat.
 	Report func() []byte
 }
 
-// Holder is one member's part in one cell.
+// Holder takes part in the election of one cell's owner on behalf of one member.
 type Holder struct {
 	deps   Dependencies
 	clock  cottonlanding.Clock
@@ -90,40 +90,42 @@
 	view       View
 	validUntil cottonlanding.Millis
 	leaving    bool
-	// lastCallTime is how long the last call of the table took that says how slow it is.
+	// lastCallTime is the duration of the last table call that shows how slow the table is.
 	lastCallTime cottonlanding.Millis
-	// connected says that the last call succeeded, calledAt is when that was known.
+	// connected is whether the last call succeeded; lastCallAt is when its result came.
 	connected  bool
 	lastCallAt cottonlanding.Millis
-	// endedVersion is the version of the owner row whose owner's process was seen to have ended, at endedAt.
+	// endedVersion is the version of the owner row whose owner's process was reported at endedAt to have ended.
 	endedVersion cottonlanding.Version
 	endedAt      cottonlanding.Millis
 
-	// The fields below belong to the duty's goroutine.
+	// The fields below are used by the duty's goroutine only.
+
 	beat cottonlanding.Version
-	// beatTTL is the time to live that the last beat row seen asks for.
-	beatTTL   cottonlanding.Millis
+	// beatTTL is the time to live given in the last beat row that was read.
+	beatTTL cottonlanding.Millis
+	// beatSince is when the beat row took its present version, as far as this member has seen.
 	beatSince cottonlanding.Millis
-	// ownerAliveAt is when the owner was last known to be alive: its beat moved between two
-	// readings, or it has just become the owner.
+	// ownerAliveAt is when the owner was last known to be alive: its beat changed between two
+	// reads, or it has just become the owner.
 	ownerAliveAt cottonlanding.Millis
-	// forwardedFor is the version of the owner row for which a request was passed on, undecodable
-	// that of one that can't be read.
+	// forwardedFor is the version of the owner row for which a request was forwarded, undecodable
+	// that of an owner row that can't be decoded.
 	forwardedFor, undecodable cottonlanding.Version
 	// ownerRowSince is when the present owner row was first seen.
 	ownerRowSince cottonlanding.Millis
-	// lastReadSentAt is when the last reading that this holder has seen was asked for, lastReadAt
-	// when it came.
+	// lastReadSentAt and lastReadAt are when the last read that this holder used was sent and
+	// answered.
 	lastReadSentAt, lastReadAt cottonlanding.Millis
 	// takeOverTimer runs the duty when this member is due to take a cell without an owner.
 	takeOverTimer *time.Timer
-	// freshReadFrom is when a reading was last asked for out of turn.
+	// freshReadFrom is the instant after which the next read must be sent, in milliseconds.
 	freshReadFrom atomic.Int64
 
 	duty *repeater.Repeater
 }
 
-// New starts to follow who owns a cell, and to own it when nobody else does.
+// New starts a holder, which follows the cell's owner and takes the cell when it has none.
 func New(deps Dependencies, cell cottonlanding.CellNumber, self Member, timing Timing) *Holder {
 	h := &Holder{
 		deps:      deps,
@@ -134,7 +136,7 @@
 		log:       writer.Of(deps.Log, writer.Owners).With("Cell", cell),
 		connected: true,
 	}
-	made := make(chan struct{}) // a step nudges the duty
+	made := make(chan struct{}) // closed once h.duty is set, which a step uses
 	h.duty = repeater.New(timing.Poll, func(ctx context.Context) {
 		<-made
 		h.step(ctx)
@@ -150,20 +152,20 @@
 	return h.deps.Reader.partition.Key(rowPrefix + h.cell.String() + "/" + row)
 }
 
-// watched returns the key of one of the cell's rows of which the table tells.
+// watched returns the key of one of the cell's rows whose changes the table's feed announces.
 func (h *Holder) watched(row string) cottonlanding.Key {
 	return h.deps.Reader.partition.Key(cottonlanding.WatchedPrefix + rowPrefix + h.cell.String() + "/" + row)
 }
 
-// View returns what is known of the owner.
+// View returns what this member knows of the owner.
 func (h *Holder) View() View {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.view
 }
 
-// TableReachable reports whether the last call of the table succeeded. Holders that look seldom go by
-// the roll as well.
+// TableReachable reports whether the last call of the table succeeded. For holders that read seldom
+// the watcher must be connected as well.
 func (h *Holder) TableReachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -171,15 +173,16 @@
 	return h.connected && (pollsOften || h.deps.Watcher.Connected())
 }
 
-// ValidUntil returns until when this member surely is the owner; zero if it isn't.
+// ValidUntil returns the instant until which this member is guaranteed to be the owner, zero if it
+// isn't the owner.
 func (h *Holder) ValidUntil() cottonlanding.Millis {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.validUntil
 }
 
-// Slow reports whether the table is slow, by the newer of what this holder's own calls and
-// the roll's show. Holders that look often go by their own.
+// Slow reports whether the table is slow, judged by the more recent of this holder's and the
+// watcher's calls. Holders that read often use their own calls only.
 func (h *Holder) Slow() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -189,7 +192,7 @@
 	return h.lastCallTime >= h.timing.SlowCall
 }
 
-// ttl returns the time to live to ask for.
+// ttl returns the time to live for the next beat.
 func (h *Holder) ttl() cottonlanding.Millis {
 	if h.Slow() {
 		return h.timing.SlowTTL
@@ -197,9 +200,9 @@
 	return h.timing.TTL
 }
 
-// timeout bounds the next call. The one after a call that failed has the time of a
-// slow table: it goes over a new connection, so that it costs no more than needed,
-// and tells a slow table from a connection that went silent.
+// timeout returns the time limit of the next call. After a failed call it is the one for a slow
+// table: the call goes over a new connection, so the longer limit costs nothing if only the old
+// connection was dead, and the result shows whether the table is slow.
 func (h *Holder) timeout() cottonlanding.Millis {
 	h.mu.Lock()
 	failed := !h.connected
@@ -210,9 +213,8 @@
 	return h.timing.Timeout
 }
 
-// recordCall takes in what became of a call of the table, and how long it took. The first one that fails
-// says nothing of how slow the table is: its connection may have gone silent, and
-// the next call shows whether it was only that.
+// recordCall records the duration and result of a call of the table. The duration of the first
+// failed call is ignored: its connection may be dead, and the next call shows whether the table is slow.
 func (h *Holder) recordCall(took cottonlanding.Millis, err error) {
 	connected := err == nil || errors.Is(err, cottonlanding.ErrConflict)
 	if !connected {
@@ -234,13 +236,14 @@
 	h.connected = connected
 }
 
-// Nudge makes the holder read at once.
+// Nudge makes the holder read the table at once.
 func (h *Holder) Nudge() {
 	h.freshReadFrom.Store(int64(h.clock.Now()))
 	h.duty.Nudge()
 }
 
-// Invalidate gives up the belief to be the owner, after a write showed another.
+// Invalidate ends this member's ownership in its own view, after a write showed that another
+// member owns the cell.
 func (h *Holder) Invalidate() {
 	h.mu.Lock()
 	h.validUntil = 0
@@ -248,10 +251,10 @@
 	h.Nudge()
 }
 
-// MarkOwnerEnded takes in that the process of the owner named in a version of the owner row was seen to have ended, so
-// that nobody needs to wait until its last beat is old. The owner may be alive all the same, as one
-// whose host refuses connections: a beat that still moves says so, and nothing rests on its death
-// before its last beat is old.
+// MarkOwnerEnded reports that the process of the owner named in a version of the owner row appears to
+// have ended, so that the take-over doesn't wait for its last beat to expire. The report may be wrong,
+// for instance when the owner's host refuses connections: a beat that still changes disproves it, and
+// until the last beat has expired nothing relies on the owner's end.
 func (h *Holder) MarkOwnerEnded(version cottonlanding.Version) {
 	h.mu.Lock()
 	known := h.endedVersion == version || h.view.Version != version
@@ -265,7 +268,7 @@
 	}
 }
 
-// ownerEndedAt returns when the process of the present owner was seen to have ended, zero if it wasn't.
+// ownerEndedAt returns when the present owner's process was reported to have ended, zero if it wasn't.
 func (h *Holder) ownerEndedAt(view View) cottonlanding.Millis {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -275,14 +278,14 @@
 	return h.endedAt
 }
 
-// Leave keeps this member from taking over again.
+// Leave prevents this member from taking the cell from now on.
 func (h *Holder) Leave() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leaving = true
 }
 
-// Close ends the duty without releasing anything.
+// Close stops the holder without releasing the cell.
 func (h *Holder) Close() {
 	h.duty.Close()
 	if h.takeOverTimer != nil {
@@ -309,14 +312,14 @@
 	return h.validUntil > 0
 }
 
-// renew writes a beat. After an unclear answer the row is read; the time to live
-// is only extended by a beat that surely was written.
+// renew writes a beat. After an ambiguous answer it reads the row back; only a beat that is known to
+// be written extends the ownership.
 func (h *Holder) renew(ctx context.Context) {
 	sent, ttl := h.clock.Now(), h.ttl()
 	h.mu.Lock()
 	if ttl < h.beatTTL {
-		// Others go by the shorter time as soon as the beat is written, also if its
-		// answer is lost.
+		// Other members use the shorter time as soon as the beat is written, even if its answer
+		// is lost.
 		h.validUntil = min(h.validUntil, sent+ttl)
 	}
 	h.mu.Unlock()
@@ -335,12 +338,13 @@
 		}
 		h.mu.Unlock()
 	case !errors.Is(err, cottonlanding.ErrUnavailable):
-		h.freshReadFrom.Store(int64(h.clock.Now())) // what was read before doesn't show why
+		h.freshReadFrom.Store(int64(h.clock.Now())) // an older read doesn't show the conflicting write
 		h.observe(ctx)
 	}
 }
 
-// confirmBeat returns the version of the beat row if the transaction wrote it last.
+// confirmBeat returns the version of the beat row if the given transaction was the last to write it,
+// and ErrConflict otherwise.
 func (h *Holder) confirmBeat(ctx context.Context, id cottonlanding.TransactionID) (cottonlanding.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout().Duration())
 	defer cancel()
@@ -351,7 +355,7 @@
 		return 0, err
 	}
 	if len(rows) != 1 || rows[0].Transaction != id {
-		return 0, fmt.Errorf("the beat was not written: %w", cottonlanding.ErrConflict)
+		return 0, fmt.Errorf("beat row was last written by another transaction: %w", cottonlanding.ErrConflict)
 	}
 	return rows[0].Version, nil
 }
@@ -390,7 +394,7 @@
 	return err.Error()
 }
 
-// NewID returns an id for one life of a process, which starts with its name.
+// NewID returns a random id for one run of a process, with the process's name as its prefix.
 func NewID(name string) cottonlanding.SessionID {
 	return cottonlanding.SessionID(name + "." + uuid.NewString()[:8])
 }
--- a/internal/coordination/holder/holder_test.go
+++ b/internal/coordination/holder/holder_test.go
@@ -20,20 +20,20 @@
 var timing = holder.Timing{TTL: 1200, SlowTTL: 4000, SlowCall: 150, Poll: 300, Timeout: 600, SlowTimeout: 2500, Jitter: 250, SlowJitter: 2000,
 	SmallShareDelay: 900, SlowSmallShareDelay: 2000, FirstOwnerDelay: 2000}
 
-// takeOverWithin is how long a silent owner's successor takes at most: the last beat is seen
-// a poll late, its time and the margin pass, then comes the jitter, which is drawn with the
-// members' ids, and another poll.
+// takeOverWithin is the longest time until an unresponsive owner is replaced: a poll until the last
+// beat is seen, its time to live with the margin, the jitter, which depends on the members' ids, and
+// another poll.
 var takeOverWithin = timing.TTL + timing.TTL/10 + timing.Jitter + 2*timing.Poll
 
 type member struct {
 	*holder.Holder
 	watcher *holder.Watcher
 	table   *table
-	// requested gets the members that ask for the partition.
+	// requested receives the members that request the cell from this one.
 	requested chan holder.Member
 }
 
-// Close ends the member.
+// Close stops the member without releasing the cell.
 func (m member) Close() {
 	m.Holder.Close()
 	m.watcher.Close()
@@ -43,15 +43,15 @@
 	return joinWithShare(store, clock, fmt.Sprintf("m%d", number), 1)
 }
 
-// joinWithShare starts a member that has a share of a core.
+// joinWithShare starts a member with a share of a core.
 func joinWithShare(store *keeper.Keeper, clock cottonlanding.Clock, name string, share float64) member {
 	return joinMember(store, clock, holder.Member{ID: cottonlanding.SessionID(name), Address: "a", Share: share}, timing)
 }
 
-// discardLog is a log that nobody reads.
+// discardLog drops all messages.
 var discardLog = slog.New(slog.DiscardHandler)
 
-// dependencies are those of a member of one cell that owns none and has nothing to tell.
+// dependencies returns the dependencies of a member of a single cell that owns no cell and has no report.
 func dependencies(of cottonlanding.Table, watcher *holder.Watcher, reader *holder.Reader, clock cottonlanding.Clock) holder.Dependencies {
 	return holder.Dependencies{
 		Table:         of,
@@ -70,7 +70,7 @@
 	}
 }
 
-// joinMember starts a member with spans of its own.
+// joinMember starts a member with its own timing.
 func joinMember(store *keeper.Keeper, clock cottonlanding.Clock, self holder.Member, timing holder.Timing) member {
 	one := &table{Table: store}
 	requested := make(chan holder.Member, 10)
@@ -80,7 +80,7 @@
 	return member{holder.New(deps, 0, self, timing), watcher, one, requested}
 }
 
-// owners returns the members that believe in themselves.
+// owners returns the numbers of the members that are owners in their own view.
 func owners(clock cottonlanding.Clock, members []member) []int {
 	var out []int
 	for at, m := range members {
@@ -108,6 +108,8 @@
 	})
 }
 
+// TestPartitionedOwnerIsReplacedOnce guards against two owners at a time, and against an owner that is
+// never replaced, when the owner can't reach the table.
 func TestPartitionedOwnerIsReplacedOnce(t *testing.T) {
 	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)[0]
@@ -123,13 +125,15 @@
 		require.NotEqual(t, old, now[0])
 		view := members[now[0]].View()
 		require.Equal(t, epoch+1, view.Owner.Epoch)
-		require.GreaterOrEqual(t, view.BeforeUntil, began, "the one before may have been valid until then")
+		require.GreaterOrEqual(t, view.BeforeUntil, began, "the previous owner may have been valid until then")
 		members[old].table.set(func(t *table) { t.partitioned = false })
 		time.Sleep(time.Second)
 		require.Equal(t, now, owners(clock, members))
 	})
 }
 
+// TestReleaseHandsOverAtOnce guards against a released cell that stays without an owner until the last
+// beat has expired.
 func TestReleaseHandsOverAtOnce(t *testing.T) {
 	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)[0]
@@ -141,6 +145,8 @@
 	})
 }
 
+// TestTableOutageKeepsOwner guards against a change of owner after an outage in which no owner could
+// write a beat.
 func TestTableOutageKeepsOwner(t *testing.T) {
 	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)
@@ -149,7 +155,7 @@
 			m.table.set(func(t *table) { t.partitioned = true })
 		}
 		time.Sleep(5 * time.Second)
-		require.Empty(t, owners(clock, members), "nobody may believe in itself for so long")
+		require.Empty(t, owners(clock, members), "an ownership outlasted its time to live")
 		for _, m := range members {
 			m.table.set(func(t *table) { t.partitioned = false })
 		}
@@ -159,6 +165,8 @@
 	})
 }
 
+// TestLostBeatAnswersKeepOwner guards against an owner that gives up its cell because the answers to its
+// beats are lost.
 func TestLostBeatAnswersKeepOwner(t *testing.T) {
 	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)
@@ -170,6 +178,7 @@
 	})
 }
 
+// TestSlowTableKeepsOwner guards against changes of owner while calls of the table take 400 or 900 ms.
 func TestSlowTableKeepsOwner(t *testing.T) {
 	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)
@@ -186,13 +195,12 @@
 			time.Sleep(50 * time.Millisecond)
 			require.LessOrEqual(t, len(owners(clock, members)), 1)
 		}
-		require.Equal(t, old, owners(clock, members), "a slow table is no reason for a new owner")
+		require.Equal(t, old, owners(clock, members), "a slow table changed the owner")
 	})
 }
 
-// TestSlowTableNeedsTwoUnansweredCalls checks that a call without an answer, as on
-// a connection that went silent, costs its time and no more, and that two show a
-// slow table.
+// TestSlowTableNeedsTwoUnansweredCalls guards against a single dead connection that is taken for a slow
+// table: one unanswered call only costs its time limit, two in a row mean that the table is slow.
 func TestSlowTableNeedsTwoUnansweredCalls(t *testing.T) {
 	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)
@@ -202,7 +210,7 @@
 			}
 			for range 40 {
 				time.Sleep(50 * time.Millisecond)
-				require.Equal(t, old, owners(clock, members), "the owner is sure of itself all the time")
+				require.Equal(t, old, owners(clock, members), "the ownership lapsed")
 				for _, m := range members {
 					require.False(t, m.Slow())
 					require.Less(t, clock.Now()-max(m.View().Read, m.ValidUntil()-timing.TTL), timing.Poll+timing.Timeout+timing.Poll)
@@ -217,20 +225,20 @@
 			time.Sleep(10 * time.Millisecond)
 			for _, m := range members {
 				if m.table.unansweredLeft() == 1 {
-					require.False(t, m.Slow(), "one call without an answer shows nothing")
+					require.False(t, m.Slow(), "one unanswered call counts as a slow table")
 				}
 			}
 		}
 		time.Sleep((timing.Poll + timing.Poll/10).Duration())
 		for _, m := range members {
 			require.Zero(t, m.table.unansweredLeft())
-			require.True(t, m.Slow(), "two calls without an answer show a slow table")
+			require.True(t, m.Slow(), "two unanswered calls don't count as a slow table")
 		}
 	})
 }
 
-// TestReleaseIsRetried checks that an owner that leaves while the table is out
-// hands over as soon as it is back.
+// TestReleaseIsRetried guards against a cell that stays without an owner because its owner left during
+// an outage of the table: the release succeeds as soon as the table is back.
 func TestReleaseIsRetried(t *testing.T) {
 	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)[0]
@@ -249,7 +257,7 @@
 	})
 }
 
-// TestTakeOverWithLostAnswer checks that a take-over whose answer was lost counts.
+// TestTakeOverWithLostAnswer guards against a second take-over after one whose answer was lost.
 func TestTakeOverWithLostAnswer(t *testing.T) {
 	simulate(t, func(t *testing.T, clock cottonlanding.Clock, members []member) {
 		old := owners(clock, members)[0]
@@ -264,11 +272,11 @@
 	})
 }
 
-// TestLargeMembersGoFirst checks that small members leave the partition to large
-// ones, at the start, after a loss and after a release, and take it when there is
-// no large one.
+// TestLargeMembersGoFirst guards against small members that take the cell although a large one could, at
+// the start, after the loss of the owner and after a release, or that leave it without an owner when
+// there is no large one.
 func TestLargeMembersGoFirst(t *testing.T) {
-	for draw := range 20 { // the names decide the jitter
+	for draw := range 20 { // the names determine the jitter
 		synctest.Test(t, func(t *testing.T) {
 			clock := cottonlanding.NewClock()
 			store := keeper.New()
@@ -282,7 +290,7 @@
 				time.Sleep(3 * time.Second)
 				now := owners(clock, members)
 				require.Len(t, now, 1)
-				require.Contains(t, []int{2, 4}, now[0], "a small member owns the partition")
+				require.Contains(t, []int{2, 4}, now[0], "a small member owns the cell")
 				return now[0]
 			}
 			first := large()
@@ -297,13 +305,13 @@
 				members[at].table.set(func(t *table) { t.partitioned = true })
 			}
 			time.Sleep(3 * time.Second)
-			require.Len(t, owners(clock, members), 1, "a small one takes it in the end")
+			require.Len(t, owners(clock, members), 1, "no small member took the cell")
 		})
 	}
 }
 
-// TestLargeMemberRequestsCell checks that a large member that was cut off
-// gets the partition back from a small one, once.
+// TestLargeMemberRequestsCell guards against a cell that stays with a small member after a large one was
+// partitioned from the table, and against further requests once the large one has the cell.
 func TestLargeMemberRequestsCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
--- a/internal/coordination/holder/member.go
+++ b/internal/coordination/holder/member.go
@@ -10,92 +10,94 @@
 type Member struct {
 	ID      cottonlanding.SessionID
 	Address cottonlanding.Address
-	// Share is the part of a core that the process has for the work.
+	// Share is the processor time that the process has for cells, in cores.
 	Share float64 `json:",omitempty"`
 }
 
 // Owner is the value of the owner row.
 type Owner struct {
-	// Member has no id after a release, but still the share of who released.
+	// Member has no id while the cell has no owner; members with about its Share or more then take
+	// over first.
 	Member
 	Epoch cottonlanding.Epoch
-	// Remaining is, in a row without an owner, for how long after it was written the owner before may
-	// still believe in itself.
+	// Remaining is set in a row without an owner: for how long after the row was written the
+	// previous owner may still act as the owner.
 	Remaining cottonlanding.Millis `json:",omitempty"`
 }
 
 // View is what one member knows of a cell's owner.
 type View struct {
 	Owner Owner
-	// Version is that of the owner row.
+	// Version is the version of the owner row.
 	Version cottonlanding.Version
-	// Read is when this was last confirmed.
+	// Read is when the view was last confirmed.
 	Read cottonlanding.Millis
-	// BeatAge is for how long the owner's beat row stood still by then, as far as
-	// this member has seen.
+	// BeatAge is how long the owner's beat row had been unchanged at Read, as far as this member
+	// has seen.
 	BeatAge cottonlanding.Millis
-	// BeforeUntil is, in an owner's own view, the instant by which the owner before
-	// it surely knew that it had ended.
+	// BeforeUntil is set in the owner's own view: the instant at which the previous owner's
+	// ownership had expired at the latest.
 	BeforeUntil cottonlanding.Millis
-	// Report is what the owner told of its cell with its last beat; others read it up
-	// to a poll later.
+	// Report is the owner's report of its cell from its last beat; other members see it up to a
+	// poll later.
 	Report []byte
 }
 
 // Beat is the value of the beat row.
 type Beat struct {
-	// TTL is how long the owner lasts without another beat.
+	// TTL is how long the ownership lasts without another beat.
 	TTL cottonlanding.Millis
-	// Report is what the owner tells of its cell.
+	// Report is the owner's report of its cell.
 	Report json.RawMessage `json:",omitempty"`
 }
 
-// Timing holds the spans of a holder.
+// Timing holds the intervals, delays and limits of a Holder.
 type Timing struct {
-	// TTL is how long an owner lasts without a beat.
+	// TTL is how long an ownership lasts without a beat.
 	TTL cottonlanding.Millis
-	// SlowTTL is the same while the table is slow, from calls of SlowCall on.
+	// SlowTTL replaces TTL while the table is slow, that is, while calls take SlowCall or more.
 	SlowTTL  cottonlanding.Millis
 	SlowCall cottonlanding.Millis
-	// Poll is the time between two reads, or beats of the owner.
+	// Poll is the time between two reads, or between two beats of the owner.
 	Poll cottonlanding.Millis
 	// RestPoll is the time between two reads of a member that leaves the cell to larger
 	// ones, while the owner is alive.
 	RestPoll cottonlanding.Millis
-	// DelayPerOwned is how much longer a member waits before it takes a cell for each one
-	// that it owns already, so that others go first.
+	// DelayPerOwned is added to a member's take-over delay for each cell that it owns, so that
+	// members with fewer cells go first.
 	DelayPerOwned cottonlanding.Millis
-	// Remote is how much longer a member waits that is in another data centre than the
-	// cell's workers, so that others go first.
+	// Remote is added to the take-over delay of a member in another data centre than the cell's
+	// workers, so that members in the same one go first.
 	Remote cottonlanding.Millis
-	// Jitter is over how long the take-overs of members are spread, SlowJitter the
-	// same while the table is slow.
+	// Jitter is the span over which the take-overs of members are spread; SlowJitter replaces it
+	// while the table is slow.
 	Jitter     cottonlanding.Millis
 	SlowJitter cottonlanding.Millis
-	// SmallShareDelay is how much longer a member waits than others before it takes over
-	// from one with a larger share, so that others with a large share go first.
-	// SlowHandicap is the same while the table is slow.
+	// SmallShareDelay is added to the take-over delay of a member with a much smaller share than
+	// the previous owner, so that members with a large share go first. SlowSmallShareDelay replaces
+	// it while the table is slow.
 	SmallShareDelay     cottonlanding.Millis
 	SlowSmallShareDelay cottonlanding.Millis
-	// RestartGrace is how long the next life of a process that has ended has to take back its cells before others
-	// do. A slow table leaves no time for that.
+	// RestartGrace is how long an ended process has to restart and reclaim its cells before other
+	// members take them. It doesn't apply while the table is slow, which leaves no time for it.
 	RestartGrace cottonlanding.Millis
-	// Reclaim says that a member takes over at once from an owner at its own address: only
-	// one process can have that, so that the owner has ended.
+	// Reclaim makes a member take over at once from an owner with its own address: only one
+	// process can have the address, so the owner has ended.
 	Reclaim bool
-	// FirstOwnerDelay is how long a member without a share of a core waits before it
-	// becomes the first owner ever, one with half a core half as long, and so on.
+	// FirstOwnerDelay is the delay before a member with a share of zero becomes the first owner of
+	// a cell; it decreases linearly to zero at a share of one core.
 	FirstOwnerDelay cottonlanding.Millis
-	// Timeout bounds one call of the table, SlowTimeout the same while it is slow.
+	// Timeout bounds one call of the table; SlowTimeout replaces it while the table is slow.
 	Timeout     cottonlanding.Millis
 	SlowTimeout cottonlanding.Millis
 }
 
-// slowCallFactor is by how many calls of a slow table the waits are longer than usual.
+// slowCallFactor is the number of calls by whose duration a delay grows while the table is slow.
 const slowCallFactor = 2
 
-// SlowSpan returns a wait while calls of the table take a given time: longer than the usual one by some calls from
-// SlowCall on, up to the one for a table as slow as was ever seen.
+// SlowSpan returns the delay to use while calls of the table take the time call: usual below SlowCall,
+// and from there on usual plus slowCallFactor calls, at most slowest, the delay for the slowest table
+// to be expected.
 func (t Timing) SlowSpan(usual, slowest, call cottonlanding.Millis) cottonlanding.Millis {
 	if call < t.SlowCall {
 		return usual
--- a/internal/coordination/holder/observe.go
+++ b/internal/coordination/holder/observe.go
@@ -9,7 +9,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// applyOwnerRow takes in what the roll tells of the owner. It reports whether the roll knows.
+// applyOwnerRow updates the view from the watcher's owner row. It returns false while the watcher has
+// read nothing yet.
 func (h *Holder) applyOwnerRow() bool {
 	row, known := h.deps.Watcher.Row(h.watched(ownerRow))
 	if !known {
@@ -17,11 +18,11 @@
 	}
 	now := h.clock.Now()
 	if h.ownerRowSince == 0 {
-		h.ownerRowSince = now // there may be none yet
+		h.ownerRowSince = now // a cell without an owner row counts from here
 	}
 	view := h.View()
 	if row.Version <= view.Version || row.Version == h.undecodable {
-		return true // this member has written the newer one, or can't read this one
+		return true // this member has written a newer row, or can't decode this one
 	}
 	var owner Owner
 	if err := json.Unmarshal(row.Value, &owner); err != nil {
@@ -29,8 +30,8 @@
 		h.log.Error("owner row", "Version", row.Version, "Error", err)
 		return true
 	}
-	// Nothing was seen of its beats, but it wrote one with the row. Whether that was long
-	// before this process began is for the first look to tell.
+	// The owner wrote a beat together with the row. If this is the first row that this process
+	// sees, that may be long ago, and only the first read of the beats shows the owner alive.
 	h.beatSince = now
 	if view.Version > 0 {
 		h.ownerAliveAt = now
@@ -39,8 +40,8 @@
 	return true
 }
 
-// observe reads the beats and does what they call for: it takes the cell, tells others that it
-// may be taken, or asks for it.
+// observe reads the beats and acts on them: it takes the cell, clears the row of an owner that has
+// ended, or requests the cell.
 func (h *Holder) observe(ctx context.Context) {
 	if h.awaitTurn() {
 		return
@@ -77,9 +78,9 @@
 	}
 }
 
-// mayPostponeRead reports whether the owner was known to be alive lately enough. Most hosts of a large
-// deployment are small and own nothing, and what they read is most of what the table is asked.
-// After a call that failed the next look is due at once: callers are turned away until one succeeds.
+// mayPostponeRead reports whether the owner was known to be alive recently enough to skip a read. In a
+// large deployment most hosts are small and own no cell, and their reads are most of the table's load.
+// After a failed call the next read is due at once, since the host rejects callers until one succeeds.
 func (h *Holder) mayPostponeRead() bool {
 	h.mu.Lock()
 	view, connected := h.view, h.connected
@@ -92,35 +93,36 @@
 	return alive && now-h.ownerAliveAt < h.readInterval()-h.timing.Poll/earlyReadDivisor
 }
 
-// readInterval is the time between two looks of this member at an owner that is alive.
+// readInterval returns the time between two reads of this member while the owner is alive.
 func (h *Holder) readInterval() cottonlanding.Millis {
 	rest := max(h.timing.RestPoll, h.timing.Poll)
 	cells := h.deps.Cells()
 	switch {
 	case cells == 1 && h.View().Owner.Share <= h.self.Share*similarShare:
-		return h.timing.Poll // it would be among the first to take over
+		return h.timing.Poll // this member would be among the first to take over
 	case cells == 1 || h.deps.Owned() > 0:
 		return rest
 	case !h.deps.CellsKnown():
-		return h.timing.Poll // callers wait for what new owners tell
+		return h.timing.Poll // callers wait for the reports of new owners
 	case !h.deps.Watcher.Connected():
-		return rest // nobody tells of a new owner
+		return rest // the feed doesn't announce a new owner
 	}
-	// Processes that started together don't look together for long.
+	// The interval varies between processes, so that those that started together don't keep reading
+	// at the same time.
 	interval := restPollsPerCell * cottonlanding.Millis(cells) * rest
 	rank := cottonlanding.Millis(xxhash.Sum64String(string(h.self.ID)) % uint64(interval))
 	return (interval + rank) * 2 / 3
 }
 
-// maxGap is the longest time between two reads that counts in full, for a read that took
-// a while: well below the time to live, so that the first read after an outage of the table
-// doesn't show an owner to be gone that had no chance to write.
+// maxGap returns the longest time between two reads that counts in full, given the duration of the
+// later one. It is well below the time to live, so that the first read after an outage of the table
+// doesn't show an owner as ended that had no chance to write.
 func (h *Holder) maxGap(took cottonlanding.Millis) cottonlanding.Millis {
 	return maxGapPolls*h.timing.Poll + took
 }
 
-// retractOwnerEnded takes back that the owner's process has ended if it has written a beat later than any that was on its way
-// when that was seen.
+// retractOwnerEnded discards a report that the owner's process has ended if the owner wrote a beat
+// later than any that could still have been in flight at the time of the report.
 func (h *Holder) retractOwnerEnded(read reading) {
 	callTimeout := h.timeout()
 	h.mu.Lock()
@@ -132,7 +134,7 @@
 	h.endedVersion = 0
 }
 
-// recordBeat measures for how long the beat row has stood still, by a reading of it.
+// recordBeat updates for how long the beat row has been unchanged, from one read of it.
 func (h *Holder) recordBeat(beat cottonlanding.Version, read reading) {
 	receivedAt := read.sent + read.took
 	gap, limit := receivedAt-h.lastReadAt, h.maxGap(read.took)
--- a/internal/coordination/holder/reader.go
+++ b/internal/coordination/holder/reader.go
@@ -6,40 +6,38 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// maxRows is the most rows that the table returns at once; a partition has fewer holders'
-// rows.
+// maxRows is the table's limit on the rows of one scan; the holders of a partition have fewer rows.
 const maxRows = 500
 
-// Reader reads the beats of the owners of a partition's cells. The holders of one process
-// share what it reads, so that looking at many cells costs no more calls of the table than
-// looking at one.
+// Reader reads the beats of all cells of a partition. The holders of one process share the result,
+// so that following many cells takes no more calls of the table than following one.
 type Reader struct {
 	table     cottonlanding.Table
 	clock     cottonlanding.Clock
 	watcher   *Watcher
 	partition cottonlanding.Partition
 
-	// semaphore holds the holder that reads; the others wait for what it reads.
+	// semaphore admits one holder at a time; the others wait for its result.
 	semaphore chan struct{}
 	last      reading
 }
 
-// reading is what one call of the table returned.
+// reading is the result of one read.
 type reading struct {
 	rows []cottonlanding.Row
 	err  error
-	// sent is when the call was made, took how long it lasted.
+	// sent is when the read began, took its duration.
 	sent, took cottonlanding.Millis
 }
 
-// NewReader returns a reader of a partition that holds nothing but holders' rows.
+// NewReader returns a Reader of a partition that contains only rows of holders.
 func NewReader(table cottonlanding.Table, clock cottonlanding.Clock, watcher *Watcher, partition cottonlanding.Partition) *Reader {
 	return &Reader{table: table, clock: clock, watcher: watcher, partition: partition, semaphore: make(chan struct{}, 1)}
 }
 
-// read returns the beats that the table held at some instant after since. A reading may be as
-// old as its caller bears: what a holder does for it is checked again by the table. With
-// owners, the roll is told who they are by the table as well: its feed may have gone silent.
+// read returns the beats as of some instant after since. A shared result is safe because the table
+// checks the versions of all that a holder writes. With owners set it also reads the owner and
+// request rows and passes them to the watcher, whose feed may be dead.
 func (r *Reader) read(ctx context.Context, since, timeout cottonlanding.Millis, owners bool) reading {
 	select {
 	case r.semaphore <- struct{}{}:
--- a/internal/coordination/holder/reclaim_test.go
+++ b/internal/coordination/holder/reclaim_test.go
@@ -12,8 +12,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/platform/keeper"
 )
 
-// TestRestartedOwnerReclaims checks that an owner which was killed and started again
-// takes over within two polls, from its earlier life alone, and that others wait.
+// TestRestartedOwnerReclaims checks that an owner that was killed and restarted takes the cell back
+// within two polls, and only from an owner at its own address; others wait for the last beat to expire.
 func TestRestartedOwnerReclaims(t *testing.T) {
 	for _, reclaim := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -26,7 +26,7 @@
 			other := joinMember(store, clock, holder.Member{ID: "other", Address: "b", Share: 1}, spans)
 			again := joinMember(store, clock, holder.Member{ID: "again", Address: "a", Share: 1}, spans)
 			time.Sleep(2 * timing.Poll.Duration())
-			require.Zero(t, other.ValidUntil(), "it can't know that the owner is gone")
+			require.Zero(t, other.ValidUntil(), "the other member can't know that the owner has ended")
 			require.Equal(t, reclaim, again.ValidUntil() > clock.Now())
 			if reclaim {
 				require.EqualValues(t, 2, again.View().Owner.Epoch)
--- a/internal/coordination/holder/request.go
+++ b/internal/coordination/holder/request.go
@@ -7,29 +7,29 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A small member becomes the owner when no large one can reach the table, and a large
-// one may end up with many cells. Once another has more room for a cell, it asks for it
-// by a row that the owner looks at, so that the work doesn't stay where it is crowded.
+// A small member becomes the owner when no large one can reach the table, and a large one may end
+// up with many cells. A member with more spare capacity then requests the cell with a row that the
+// owner reads, so that cells don't stay on overloaded members.
 
 const (
-	// requestDelay is how long a member has seen a small owner before it asks: each
-	// change of owner costs a few tenths of a second.
+	// requestDelay is the minimum age of an ownership before another member requests the cell,
+	// since each change of owner takes a few tenths of a second.
 	requestDelay = 1500 * cottonlanding.Millis(1)
-	// maxUncontestedCells is how many cells a member may own without being asked for them by one
-	// of about the same share: a cell is sized to take a third of a member at most, and
-	// each change of owner holds up its work.
+	// maxUncontestedCells is how many cells a member may own before others of about the same share
+	// request them: a cell is sized for a third of a member at most, and each change of owner
+	// delays its work.
 	maxUncontestedCells = 2
 )
 
 // Request is the value of the request row.
 type Request struct {
-	// Member asks for the cell.
+	// Member is the one that requests the cell.
 	Member
-	// OwnerVersion is the version of the owner row that it asks to be given up.
+	// OwnerVersion is the version of the owner row whose owner should release the cell.
 	OwnerVersion cottonlanding.Version
 }
 
-// requestCell asks for the cell if this member should have it.
+// requestCell requests the cell from its owner if this member should have it.
 func (h *Holder) requestCell(ctx context.Context) {
 	view := h.View()
 	if !h.shouldRequest(view, h.clock.Now()) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// decodeRequest returns the request of a row; it is written anew for the next owner if it
-// can't be read.
+// decodeRequest returns the request in a row. A row that can't be decoded counts as no request and
+// is overwritten by the next one.
 func (h *Holder) decodeRequest(row cottonlanding.Row) Request {
 	var request Request
 	if row.Version == 0 {
@@ -65,8 +65,8 @@
 	return h.ownerOverloaded(view.Owner.Share, max(h.deps.OwnedBy(view.Owner.ID), 1))
 }
 
-// ownerOverloaded reports whether the owner has much less of its share for each cell than this
-// member would have with one more.
+// ownerOverloaded reports whether the owner, with the given share and number of cells, has much less
+// share per cell than this member would have with one cell more.
 func (h *Holder) ownerOverloaded(share float64, owned int) bool {
 	if owned <= maxUncontestedCells && share*similarShare >= h.self.Share {
 		return false
@@ -74,7 +74,7 @@
 	return float64(owned)*h.self.Share > similarShare*float64(h.deps.Owned()+1)*share
 }
 
-// writeRequest writes the request; of several members one succeeds.
+// writeRequest writes the request row. If several members write it at once, one succeeds.
 func (h *Holder) writeRequest(ctx context.Context, view View, requestVersion cottonlanding.Version) {
 	write := cottonlanding.Write{
 		Key:    h.watched(requestRow),
@@ -86,7 +86,7 @@
 		"Share", h.self.Share, "Error", errorText(err))
 }
 
-// forwardRequest passes on a request for this ownership, once.
+// forwardRequest calls CellRequested for a request of this ownership, once.
 func (h *Holder) forwardRequest() {
 	view := h.View()
 	if h.forwardedFor == view.Version {
--- a/internal/coordination/holder/rows.go
+++ b/internal/coordination/holder/rows.go
@@ -7,8 +7,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// decodeBeat finds the cell's beat among those of a partition. The version of one that is
-// absent is zero.
+// decodeBeat returns the cell's beat among the rows of a partition and its version, which is zero if
+// there is no beat row.
 func (h *Holder) decodeBeat(rows []cottonlanding.Row) (Beat, cottonlanding.Version, error) {
 	beat := Beat{TTL: h.timing.TTL}
 	for _, row := range rows {
@@ -21,7 +21,7 @@
 	return beat, 0, nil
 }
 
-// encodeBeat returns the value of the next beat row.
+// encodeBeat returns the value of a beat row.
 func (h *Holder) encodeBeat(ttl cottonlanding.Millis, report []byte) []byte {
 	return encode(Beat{TTL: ttl, Report: report})
 }
@@ -29,7 +29,7 @@
 func encode(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(fmt.Sprintf("encode row: %v", err)) // the types have no field that can fail
+		panic(fmt.Sprintf("encode row: %v", err)) // no field of the row types can fail to encode
 	}
 	return data
 }
--- a/internal/coordination/holder/table_test.go
+++ b/internal/coordination/holder/table_test.go
@@ -8,14 +8,15 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// table passes calls on, slowly, not at all, or without the answer.
+// table passes calls on to a table and injects faults.
 type table struct {
 	cottonlanding.Table
 	mu          sync.Mutex
 	partitioned bool
 	loseAnswers bool
 	delayCalls  time.Duration
-	// unanswered is how many calls get no answer in their time, and have no effect.
+	// unanswered is how many of the next calls get no answer before their time limit and have no
+	// effect.
 	unanswered int
 }
 
@@ -31,7 +32,7 @@
 	return t.partitioned, t.loseAnswers, t.delayCalls
 }
 
-// dropsAnswer reports whether a call gets no answer.
+// dropsAnswer reports whether the present call gets no answer, and counts it.
 func (t *table) dropsAnswer() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,7 +49,7 @@
 	return t.unanswered
 }
 
-// awaitAnswer waits for as long as a slow table takes, and reports whether the call has the time.
+// awaitAnswer waits for the delay of calls and reports whether it ends before ctx does.
 func (t *table) awaitAnswer(ctx context.Context) bool {
 	_, _, delayCalls := t.faults()
 	if delayCalls == 0 {
@@ -101,7 +102,7 @@
 	return t.Table.Scan(ctx, prefix, after, limit)
 }
 
-// feed tells of the store's watched rows, but nothing to a member that is cut off.
+// feed passes calls of the feed on with the faults of the member's table.
 type feed struct {
 	cottonlanding.Feed
 	table *table
--- a/internal/coordination/holder/takeover.go
+++ b/internal/coordination/holder/takeover.go
@@ -12,22 +12,23 @@
 	"github.com/cottonlanding/cottonlanding/internal/duty/pauser"
 )
 
-// similarShare is how many times larger another share may be to count as similar.
+// similarShare is the factor up to which two shares count as similar.
 const similarShare = 1.5
 
-// Release gives the cell up, so that another member can take it at once. It
-// tries until that is done or ctx ends. The holder goes on to follow who owns it.
+// Release gives up the cell so that another member can take it at once, and prevents this member from
+// taking it again. It retries until it succeeds or ctx ends. The holder continues to follow the owner.
 func (h *Holder) Release(ctx context.Context) error {
 	h.Leave()
 	return h.release(ctx, h.View().Owner.Share)
 }
 
-// ReleaseTo is Release for a member with more room; this one may own the cell again later.
+// ReleaseTo gives up the cell in favour of a member with more spare capacity. Unlike after Release,
+// this member may take the cell again.
 func (h *Holder) ReleaseTo(ctx context.Context, to Member) error {
 	return h.release(ctx, to.Share)
 }
 
-// release writes an owner row without an owner; members of about that share go first.
+// release clears the owner row; members with about the given share may take over first.
 func (h *Holder) release(ctx context.Context, share float64) error {
 	h.mu.Lock()
 	view, valid := h.view, h.validUntil > 0
@@ -40,7 +41,7 @@
 	for {
 		_, err := h.write(ctx, newTransactionID(), write)
 		if err == nil || errors.Is(err, cottonlanding.ErrConflict) {
-			return nil // it is released, or another has it already
+			return nil // released, or already taken by another member
 		}
 		pauser.Pause(ctx, releaseRetryInterval)
 		if ctx.Err() != nil {
@@ -49,8 +50,8 @@
 	}
 }
 
-// vacantOwnerWrite returns the write of an owner row that names nobody in place of the owner, who may believe in
-// itself for a remaining time. Members of about that share go first.
+// vacantOwnerWrite returns the write that clears the owner row. The previous owner may act as the
+// owner for the remaining time; members with about the given share may take over first.
 func (h *Holder) vacantOwnerWrite(view View, share float64, remaining cottonlanding.Millis) cottonlanding.Write {
 	return cottonlanding.Write{
 		Key:    h.watched(ownerRow),
@@ -59,7 +60,7 @@
 	}
 }
 
-// shouldTakeOver reports whether this member should take over.
+// shouldTakeOver reports whether this member should take the cell now.
 func (h *Holder) shouldTakeOver(view View, now cottonlanding.Millis) bool {
 	h.mu.Lock()
 	leaving, isOwner := h.leaving, h.validUntil > 0
@@ -78,8 +79,8 @@
 // vacant reports whether the cell has no owner.
 func (h *Holder) vacant() bool { return h.View().Owner.ID == "" }
 
-// awaitTurn reports whether this member only has to wait for its turn to take a cell that has no
-// owner. The duty runs again when that comes.
+// awaitTurn reports whether the cell has no owner and this member's turn to take it hasn't come yet;
+// it then schedules the duty for that turn.
 func (h *Holder) awaitTurn() bool {
 	view, now := h.View(), h.clock.Now()
 	if view.Owner.ID != "" || h.ownerRowSince == 0 {
@@ -97,14 +98,16 @@
 	return true
 }
 
-// ownerHasEnded reports whether the owner has surely ended, which others are to be told where not all
-// processes look at its beats.
+// ownerHasEnded reports whether the owner is guaranteed to have ended or its process was reported to
+// have, so that the owner row should be cleared. With a single cell all processes read its beat, and
+// the row needn't be cleared.
 func (h *Holder) ownerHasEnded(view View, now cottonlanding.Millis) bool {
 	return !h.isOwner() && h.deps.Cells() > 1 && view.Owner.ID != "" && now >= h.ownerEndsAt(view)
 }
 
-// ownerEndsAt returns the instant by which the owner has ended if its beat doesn't move any more, or its next life has
-// had its time to take the cell back, and this member's part of the jitter after that.
+// ownerEndsAt returns when this member acts on the owner's end if the beat doesn't change any more:
+// at the expiry of the ownership, or of the restart grace if the owner's process was reported to have
+// ended, plus this member's part of the jitter.
 func (h *Holder) ownerEndsAt(view View) cottonlanding.Millis {
 	end := h.ownershipExpiresAt() + h.jitter(view)
 	endedAt := h.ownerEndedAt(view)
@@ -112,13 +115,15 @@
 	case endedAt == 0:
 		return end
 	case h.deps.Cells() > 1:
-		// Few watch an owner and write that it is gone, so that they needn't be spread over many calls.
+		// Only a few members watch each owner and clear its row, so the jitter for a slow table isn't
+		// needed.
 		return min(end, endedAt+h.restartGrace()+h.memberOffset(h.timing.Jitter, view))
 	}
 	return min(end, endedAt+h.restartGrace()+h.jitter(view))
 }
 
-// ownershipExpiresAt returns the instant by which the owner doesn't believe in itself any more if its beat doesn't move.
+// ownershipExpiresAt returns when the ownership has expired in the owner's own view at the latest, if
+// the beat doesn't change any more.
 func (h *Holder) ownershipExpiresAt() cottonlanding.Millis {
 	return h.beatSince + h.beatTTL + h.beatTTL/driftMarginDivisor
 }
@@ -130,8 +135,8 @@
 	return h.timing.RestartGrace
 }
 
-// clearOwner writes that the cell has no owner, in place of one that was seen to write no beat for
-// its time to live. The beat row is written too, so that the owner can't come back unaware.
+// clearOwner clears the owner row of an owner that has ended. It writes the beat row too, so that an
+// owner that is alive after all fails to write its next beat and learns of the change.
 func (h *Holder) clearOwner(ctx context.Context, view View) {
 	remaining := max(0, h.ownershipExpiresAt()-h.clock.Now())
 	_, err := h.write(ctx, newTransactionID(),
@@ -142,8 +147,8 @@
 		"BeatAge", h.clock.Now()-h.beatSince, "Remaining", remaining, "Error", errorText(err))
 }
 
-// namesThisMember reports whether the owner row names this member, whose ownership has lapsed or was never
-// confirmed, or an earlier life of this host.
+// namesThisMember reports whether the owner row names this member, whose ownership has expired or was
+// never confirmed, or an earlier process at its address.
 func (h *Holder) namesThisMember(view View) bool {
 	if view.Owner.Member == h.self {
 		return true
@@ -151,13 +156,12 @@
 	return h.timing.Reclaim && h.self.Address != "" && view.Owner.Address == h.self.Address
 }
 
-// mayTakeOverNow reports whether this member has waited for as long as it should before it takes the
-// cell over.
+// mayTakeOverNow reports whether this member's take-over delay is over.
 func (h *Holder) mayTakeOverNow(view View, now cottonlanding.Millis) bool {
 	return now >= h.takeOverDueAt(view)
 }
 
-// takeOverDueAt returns the instant from which this member should take the cell over.
+// takeOverDueAt returns the instant from which this member may take the cell.
 func (h *Holder) takeOverDueAt(view View) cottonlanding.Millis {
 	switch {
 	case view.Version == 0:
@@ -168,8 +172,7 @@
 	return h.ownerEndsAt(view) + h.smallShareDelay(view) + h.ownLoadDelay()
 }
 
-// ownLoadDelay is how much longer this member waits because of the cells that it owns, and
-// because of where it is.
+// ownLoadDelay returns the delay due to the cells that this member owns and to its data centre.
 func (h *Holder) ownLoadDelay() cottonlanding.Millis {
 	wait := cottonlanding.Millis(h.deps.Owned()) * h.timing.DelayPerOwned
 	if h.deps.Remote() {
@@ -178,8 +181,7 @@
 	return wait
 }
 
-// smallShareDelay is how much longer this member waits than those that have as large a
-// share as the owner had.
+// smallShareDelay returns the delay due to a much smaller share than the previous owner's.
 func (h *Holder) smallShareDelay(view View) cottonlanding.Millis {
 	if view.Owner.Share <= h.self.Share*similarShare {
 		return 0
@@ -187,7 +189,8 @@
 	return h.scaleDelay(h.timing.SmallShareDelay, h.timing.SlowSmallShareDelay)
 }
 
-// scaleDelay returns a span that leaves time for calls of the table as it is at present.
+// scaleDelay returns usual, or a longer delay for the present duration of calls while the table is
+// slow, at most slowest.
 func (h *Holder) scaleDelay(usual, slowest cottonlanding.Millis) cottonlanding.Millis {
 	if !h.Slow() {
 		return usual
@@ -198,18 +201,18 @@
 	return h.timing.SlowSpan(usual, slowest, call)
 }
 
-// firstOwnerDelay is how long this member waits before it becomes the first owner.
+// firstOwnerDelay returns the delay before this member becomes the first owner of the cell.
 func (h *Holder) firstOwnerDelay() cottonlanding.Millis {
 	return cottonlanding.Millis(float64(h.timing.FirstOwnerDelay) * max(0, 1-h.self.Share))
 }
 
-// jitter spreads the members that would take over at the same moment: they share
-// one row, and a slow table takes their writes one after the other.
+// jitter returns this member's part of the span over which take-overs are spread: all members write
+// the same row, and a slow table processes their writes one after the other.
 func (h *Holder) jitter(view View) cottonlanding.Millis {
 	return h.memberOffset(h.scaleDelay(h.timing.Jitter, h.timing.SlowJitter), view)
 }
 
-// memberOffset returns this member's part of a span over which the members are spread.
+// memberOffset returns an offset within span that depends on the member, the cell and the owner row.
 func (h *Holder) memberOffset(span cottonlanding.Millis, view View) cottonlanding.Millis {
 	if span <= 0 {
 		return 0
@@ -218,8 +221,8 @@
 	return cottonlanding.Millis(rank % uint64(span))
 }
 
-// takeOver writes the owner row. The beat row must not have moved, so that an
-// owner that has just come back keeps what it holds.
+// takeOver writes the owner row with a new epoch. The write fails if the beat row has changed, so that
+// an owner that has just come back keeps the cell.
 func (h *Holder) takeOver(ctx context.Context, view View) {
 	sent, ttl := h.clock.Now(), h.ttl()
 	owner := Owner{Member: h.self, Epoch: view.Owner.Epoch + 1}
@@ -234,11 +237,11 @@
 	h.log.Info("take over", "From", view.Owner.ID, "Epoch", owner.Epoch,
 		"BeatAge", sent-h.beatSince, "Error", errorText(err))
 	if err != nil {
-		return // the next read shows who has it
+		return // the next read shows the owner
 	}
-	previousUntil := h.beatSince + h.beatTTL // it was seen to write no beat since
+	previousUntil := h.beatSince + h.beatTTL // the previous owner has written no beat since beatSince
 	if view.Owner.ID == "" {
-		previousUntil = max(sent, h.ownerRowSince+view.Owner.Remaining) // it has released, has ended, or there was none
+		previousUntil = max(sent, h.ownerRowSince+view.Owner.Remaining) // released, cleared, or never owned
 	}
 	h.beat, h.beatTTL, h.beatSince = version, ttl, h.clock.Now()
 	h.ownerRowSince = h.beatSince
--- a/internal/coordination/holder/watcher.go
+++ b/internal/coordination/holder/watcher.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// feedWait is how long the table holds the feed open: well under the time within which
-	// a host must have heard of the table to take calls.
+	// feedWait is how long the table holds a call of the feed open. It is well under the time
+	// since the last contact with the table after which a host takes no calls.
 	feedWait = 1200 * cottonlanding.Millis(1)
-	// feedMargin is how much longer than that a call may take, on a connection that may have
-	// gone silent.
+	// feedMargin is how much longer than its wait a call may take before its connection counts as
+	// dead.
 	feedMargin = 600 * cottonlanding.Millis(1)
-	// slowFeedWait and rollSlowMargin are the same for a slow table, which takes longer for
-	// each call.
+	// slowFeedWait and slowFeedMargin replace them for a slow table, which takes longer for each
+	// call.
 	slowFeedWait   = 300 * cottonlanding.Millis(1)
 	slowFeedMargin = 2500 * cottonlanding.Millis(1)
-	// feedRetryInterval is the pause after a call that failed.
+	// feedRetryInterval is the time between a failed call and the next one.
 	feedRetryInterval = 200 * cottonlanding.Millis(1)
-	// contactTimeout is for how long a roll in touch with the table hears nothing at most.
+	// contactTimeout is the longest time between two answers of the table while it is reachable.
 	contactTimeout = feedWait + feedMargin + feedRetryInterval
 )
 
-// Watcher is what a process knows of the rows that say who owns which cell. The table tells of
-// their changes: each process is told of each change of owner once, however many cells there
-// are, and asks for nothing while no owner changes.
+// Watcher holds the owner and request rows of all cells and follows their changes through the
+// table's feed: a process receives each change once, whatever the number of cells, and reads no
+// rows while nothing changes.
 type Watcher struct {
 	feed     cottonlanding.Feed
 	clock    cottonlanding.Clock
@@ -44,13 +44,14 @@
 	lastContactAt cottonlanding.Millis
 	// failedAt is when a holder's own call of the table last failed.
 	failedAt cottonlanding.Millis
-	// slow says that the last call took long beyond its wait.
+	// slow is whether the last call took at least slowCall beyond its wait.
 	slow bool
-	// lastTakeOverAt is when a holder of this process last took a cell.
+	// lastTakeOverAt is when a holder of this process was last allowed to take a cell.
 	lastTakeOverAt cottonlanding.Millis
 }
 
-// NewWatcher starts to follow the rows. Calls that take slowCall and more show a slow table.
+// NewWatcher starts to follow the rows. The table is slow while calls take slowCall or more beyond
+// the time for which it holds them open.
 func NewWatcher(feed cottonlanding.Feed, clock cottonlanding.Clock, log *slog.Logger, slowCall cottonlanding.Millis) *Watcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Watcher{
@@ -66,7 +67,7 @@
 	return r
 }
 
-// Close ends the following.
+// Close stops the watcher; its rows stay readable.
 func (r *Watcher) Close() { r.cancel() }
 
 func (r *Watcher) run(ctx context.Context) {
@@ -86,8 +87,8 @@
 	}
 }
 
-// read makes one call of the feed. After a failed one the next waits for nothing: it goes over a new
-// connection, and shows whether the table is slow.
+// read makes one call of the feed. After a failed call it asks for an immediate answer: the call goes
+// over a new connection, and its duration shows whether the table is slow.
 func (r *Watcher) read(ctx context.Context, version cottonlanding.Version, failed bool) (cottonlanding.Version, error) {
 	wait, margin := feedWait, feedMargin
 	if r.Slow() {
@@ -107,9 +108,9 @@
 	return update.Version, nil
 }
 
-// apply takes in a reading of the feed, and how long it took beyond its wait. One that came
-// before the wait was over says nothing of how slow the table is, one of the whole table is
-// several calls.
+// apply records a reading of the feed and by how much it exceeded its wait. A reading that came
+// before the wait was over doesn't show how slow the table is, and neither does a complete one, which
+// takes several calls.
 func (r *Watcher) apply(update cottonlanding.FeedReading, delay cottonlanding.Millis) {
 	r.mu.Lock()
 	r.lastContactAt = r.clock.Now()
@@ -123,7 +124,8 @@
 	}
 }
 
-// UpdateRow takes in a row that was read. An older one than is known undoes nothing.
+// UpdateRow records a row that was read and calls its listeners, unless a row of this or a later
+// version is known.
 func (r *Watcher) UpdateRow(row cottonlanding.Row) {
 	r.mu.Lock()
 	if row.Version <= r.rows[row.Key].Version {
@@ -138,51 +140,52 @@
 	}
 }
 
-// Listen calls listener after each change of a row; it must return at once.
+// Listen registers a listener that is called after each change of a row. It must not block.
 func (r *Watcher) Listen(key cottonlanding.Key, listener func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listeners[key] = append(r.listeners[key], listener)
 }
 
-// Row returns a row, of version zero if there is none, and false before any are known.
+// Row returns a row, with version zero if it doesn't exist, and false before the rows were first read.
 func (r *Watcher) Row(key cottonlanding.Key) (cottonlanding.Row, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rows[key], r.loaded
 }
 
-// LastContactAt returns when the table last answered.
+// LastContactAt returns when the feed last answered.
 func (r *Watcher) LastContactAt() cottonlanding.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastContactAt
 }
 
-// Connected reports whether the table was heard of lately, and since any holder's call of it
-// failed: those that look seldom learn of a lost table from those that have just looked.
+// Connected reports whether the feed answered recently, and since the last failed call of any holder
+// of this process: holders that read seldom learn from the others that the table is unreachable.
 func (r *Watcher) Connected() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastContactAt >= r.failedAt && r.clock.Now()-r.lastContactAt < contactTimeout
 }
 
-// recordFailure takes in that a holder's call of the table has failed.
+// recordFailure records that a holder's call of the table failed at now.
 func (r *Watcher) recordFailure(now cottonlanding.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failedAt = now
 }
 
-// Slow reports whether the table was slow to answer lately.
+// Slow reports whether the table was slow to answer the last call that shows it.
 func (r *Watcher) Slow() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.slow
 }
 
-// mayTakeOver reports whether a holder of this process may take a cell now: one at a time, so
-// that each knows of the others' and other processes have their turn.
+// mayTakeOver reports whether a holder of this process may take a cell now, and if so records it.
+// Take-overs of one process are at least gap apart, so that each holder counts the cells that the
+// others have taken, and other processes get a turn.
 func (r *Watcher) mayTakeOver(now, gap cottonlanding.Millis) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/coordination/observer/golden_test.go
+++ b/internal/coordination/observer/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/golden/comparer"
 )
 
-// TestGoldenOwnership guards against hosts of two versions that don't see each other's ownership of a cell.
+// TestGoldenOwnership guards against hosts of two versions that can't decode each other's owner rows.
 func TestGoldenOwnership(t *testing.T) {
 	encode := func(value any) []byte {
 		data, err := json.Marshal(value)
--- a/internal/coordination/observer/observer.go
+++ b/internal/coordination/observer/observer.go
@@ -1,4 +1,4 @@
-// Package observer watches which sessions are alive and who owns which cell.
+// Package observer determines which sessions are alive and who owns which cell.
 package observer
 
 import (
@@ -18,11 +18,11 @@
 	ownerPrefix cottonlanding.Key = "Owners/"
 	readTimeout                   = 2 * cottonlanding.Second
 	scanLimit                     = 1000
-	// endedRowRetention is how long the row of an ended session is kept.
+	// endedRowRetention is how long the row of an ended session stays in the table.
 	endedRowRetention = 10 * cottonlanding.Minute
 	// maxGapPolls bounds the time counted between two reads, in polls.
 	maxGapPolls = 3
-	// driftMarginDivisor lengthens the time to live by 1/10 against clock drift.
+	// driftMarginDivisor extends the time to live by 1/10 to allow for clock drift.
 	driftMarginDivisor = 10
 )
 
@@ -34,7 +34,7 @@
 	Epoch cottonlanding.Epoch
 }
 
-// OwnerRow is an Ownership with its row's version; the zero value is an absent row.
+// OwnerRow is an Ownership with the version of its row; the zero value stands for an absent row.
 type OwnerRow struct {
 	Ownership
 	Version cottonlanding.Version
@@ -45,16 +45,16 @@
 	return ownerPrefix + cottonlanding.Key(cell)
 }
 
-// View is what one successful read showed. It is never changed.
+// View is the result of one successful read. It is never modified.
 type View struct {
-	// Read is the instant of the answer; zero before the first.
+	// Read is when the answer came; zero before the first one.
 	Read cottonlanding.Millis
-	// ObservedTTL tells that the observer has counted a session's time since its first
-	// read, so that it has seen the end of any that ended before.
+	// ObservedTTL is set once the observer has observed the sessions for their time to
+	// live, so that it has detected all that had ended before its first read.
 	ObservedTTL bool
-	// Live holds the sessions that have not ended.
+	// Live holds the sessions that haven't ended, ordered by id.
 	Live []registrar.Session
-	// Ended tells when sessions were found to have ended.
+	// Ended holds when sessions were found to have ended.
 	Ended map[cottonlanding.SessionID]cottonlanding.Millis
 	// Cells holds the owner rows of the observer's data centre.
 	Cells map[cottonlanding.CellID]OwnerRow
@@ -70,7 +70,7 @@
 	return false
 }
 
-// Observer reads the table and publishes views.
+// Observer reads the table periodically and publishes views.
 type Observer struct {
 	table      cottonlanding.Table
 	clock      cottonlanding.Clock
@@ -86,7 +86,7 @@
 	duty *repeater.Repeater
 }
 
-// State is an observer's dump.
+// State is an Observer's state for diagnostics.
 type State struct {
 	// Age is the time since the last successful read.
 	Age      cottonlanding.Millis
@@ -96,7 +96,8 @@
 	Cells    map[cottonlanding.CellID]OwnerRow
 }
 
-// New starts an observer that reads each poll and calls changed with every view.
+// New starts an Observer that reads the table at intervals of poll and calls changed with every view.
+// ttl is the sessions' time to live, dataCentre the one whose cells the views hold.
 func New(table cottonlanding.Table, clock cottonlanding.Clock, dataCentre cottonlanding.DataCentre, ttl, poll cottonlanding.Millis, changed func(View)) *Observer {
 	o := &Observer{
 		table:      table,
@@ -109,14 +110,14 @@
 	return o
 }
 
-// View returns the latest view.
+// View returns the latest view, the zero View before the first read.
 func (o *Observer) View() View {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.view
 }
 
-// State returns the dump.
+// State returns the state for diagnostics.
 func (o *Observer) State() State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -129,10 +130,10 @@
 	}
 }
 
-// Nudge makes the observer read at once.
+// Nudge makes the observer read the table at once.
 func (o *Observer) Nudge() { o.duty.Nudge() }
 
-// Close ends the observer.
+// Close stops the observer.
 func (o *Observer) Close() { o.duty.Close() }
 
 func (o *Observer) observe(ctx context.Context) {
@@ -185,8 +186,8 @@
 	return out, nil
 }
 
-// deleteStaleRows deletes the rows of sessions that ended long ago. Whoever does it first
-// wins; the others' transactions conflict.
+// deleteStaleRows deletes the rows of sessions that ended long ago. If several observers try, one
+// succeeds and the transactions of the others conflict.
 func (o *Observer) deleteStaleRows(ctx context.Context, now cottonlanding.Millis) {
 	for _, write := range o.tracker.Stale(endedRowRetention, now) {
 		ctx, cancel := context.WithTimeout(ctx, readTimeout.Duration())
@@ -197,7 +198,7 @@
 		_, err := o.table.Commit(ctx, transaction)
 		cancel()
 		if err != nil {
-			return // the next poll tries again, or finds the row gone
+			return // the next poll retries, or finds the row deleted
 		}
 	}
 }
--- a/internal/coordination/observer/tracker.go
+++ b/internal/coordination/observer/tracker.go
@@ -10,19 +10,19 @@
 	"github.com/cottonlanding/cottonlanding/internal/coordination/registrar"
 )
 
-// endedSessionRetention is how long the roster remembers a session whose row is gone.
+// endedSessionRetention is how long the tracker remembers an ended session after its row was deleted.
 const endedSessionRetention = 60 * cottonlanding.Minute
 
-// SessionTracker judges which sessions are alive from successive reads of their rows.
-// It counts only time in which reads succeeded: while the table is out, no
-// session expires.
+// SessionTracker determines which sessions are alive from successive reads of
+// their rows. It counts only time in which reads succeed, so that no session
+// expires during an outage of the table.
 type SessionTracker struct {
 	ttl cottonlanding.Millis
-	// maxGap is the longest span between two reads that counts in full.
+	// maxGap is the longest time between two reads that counts in full.
 	maxGap   cottonlanding.Millis
 	lastRead cottonlanding.Millis
 	started  bool
-	// observedTime is the time counted so far.
+	// observedTime is the sum of the counted times between reads.
 	observedTime cottonlanding.Millis
 	sessions     map[cottonlanding.SessionID]*trackedSession
 }
@@ -30,21 +30,21 @@
 type trackedSession struct {
 	session registrar.Session
 	version cottonlanding.Version
-	// versionSince is the observed time at which the version was first seen.
+	// versionSince is the tracker's observedTime when the version was first seen.
 	versionSince cottonlanding.Millis
 	ended        bool
-	// endedAt is the observer's clock when the session was found to have ended.
+	// endedAt is when the session was found to have ended, by the observer's clock.
 	endedAt cottonlanding.Millis
 }
 
-// NewSessionTracker returns an empty roster. Sessions live for ttl after a renewal; of a
-// span without a successful read at most gap is counted.
+// NewSessionTracker returns a tracker without sessions. A session lives for ttl
+// after a renewal; of the time between two reads at most maxGap is counted.
 func NewSessionTracker(ttl, maxGap cottonlanding.Millis) *SessionTracker {
 	return &SessionTracker{ttl: ttl, maxGap: maxGap, sessions: make(map[cottonlanding.SessionID]*trackedSession)}
 }
 
-// Observe takes in a successful read of all session rows, sent at the instant
-// sent and answered at now.
+// Observe records a successful read of all session rows that was sent at sent and answered at now.
+// It returns an error if a row can't be decoded.
 func (r *SessionTracker) Observe(rows []cottonlanding.Row, sent, now cottonlanding.Millis) error {
 	r.advance(sent)
 	found := make(map[cottonlanding.SessionID]bool, len(rows))
@@ -95,10 +95,10 @@
 	}
 }
 
-// ObservedTTL reports whether a session's time was counted since the first read.
+// ObservedTTL reports whether the sessions have been observed for their time to live.
 func (r *SessionTracker) ObservedTTL() bool { return r.observedTime >= r.ttl }
 
-// Live returns the sessions that have not ended, in order of id.
+// Live returns the sessions that haven't ended, ordered by id.
 func (r *SessionTracker) Live() []registrar.Session {
 	var out []registrar.Session
 	for _, m := range r.sessions {
@@ -110,13 +110,13 @@
 	return out
 }
 
-// Alive reports whether a session has not ended.
+// Alive reports whether a session is known and hasn't ended.
 func (r *SessionTracker) Alive(id cottonlanding.SessionID) bool {
 	m := r.sessions[id]
 	return m != nil && !m.ended
 }
 
-// Ended returns when sessions were found to have ended.
+// Ended returns when each ended session was found to have ended.
 func (r *SessionTracker) Ended() map[cottonlanding.SessionID]cottonlanding.Millis {
 	out := make(map[cottonlanding.SessionID]cottonlanding.Millis)
 	for id, m := range r.sessions {
@@ -127,7 +127,7 @@
 	return out
 }
 
-// Stale returns the rows of sessions that ended at least age ago, to be deleted.
+// Stale returns the writes that delete the rows of sessions that ended at least age ago.
 func (r *SessionTracker) Stale(age, now cottonlanding.Millis) []cottonlanding.Write {
 	var out []cottonlanding.Write
 	for id, m := range r.sessions {
--- a/internal/coordination/observer/tracker_test.go
+++ b/internal/coordination/observer/tracker_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
-		_ = flag.Set("rapid.seed", "20261202") // the same verdict every time
+		_ = flag.Set("rapid.seed", "20261202") // a fixed seed, so that runs are reproducible
 	}
 	os.Exit(m.Run())
 }
@@ -33,8 +33,9 @@
 	return cottonlanding.Row{Key: registrar.SessionKey(id), Version: version, Value: value}
 }
 
-// TestSessionOutlastsHoldersValidity models a holder that counts from
-// before it sent its last successful renewal, and an observer whose reads fail,
+// TestSessionOutlastsHoldersValidity guards against an observer that counts a
+// session as ended while its holder still counts it as valid. The holder counts
+// from before it sent its last successful renewal; the observer's reads fail,
 // lag and pause.
 func TestSessionOutlastsHoldersValidity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -59,13 +60,15 @@
 				require.NoError(t, tracker.Observe([]cottonlanding.Row{row}, sent, now))
 				_, after := tracker.Ended()["holder"]
 				if after && !before {
-					require.GreaterOrEqual(t, now, validUntil, "ended while the holder believed in it")
+					require.GreaterOrEqual(t, now, validUntil, "ended while still valid for its holder")
 				}
 			},
 		})
 	})
 }
 
+// TestUnrenewedSessionEndsAfterTTL guards against a session that ends before
+// its time to live has passed, or stays alive after it.
 func TestUnrenewedSessionEndsAfterTTL(t *testing.T) {
 	tracker := observer.NewSessionTracker(ttl, 3*poll)
 	rows := []cottonlanding.Row{sessionRow(t, "dead", 7)}
@@ -77,15 +80,19 @@
 	require.False(t, tracker.Alive("dead"))
 }
 
+// TestTableOutageKeepsSessions guards against sessions that end because they
+// couldn't be renewed during an outage of the table.
 func TestTableOutageKeepsSessions(t *testing.T) {
 	tracker := observer.NewSessionTracker(ttl, 3*poll)
 	rows := []cottonlanding.Row{sessionRow(t, "held", 7)}
 	require.NoError(t, tracker.Observe(rows, 0, 0))
 	outage := 10 * cottonlanding.Minute
 	require.NoError(t, tracker.Observe(rows, outage, outage))
-	require.True(t, tracker.Alive("held"), "nobody could renew during the outage")
+	require.True(t, tracker.Alive("held"), "no session could be renewed during the outage")
 }
 
+// TestDeletedRowEndsSession guards against a closed session that counts as alive
+// until its time to live has passed.
 func TestDeletedRowEndsSession(t *testing.T) {
 	tracker := observer.NewSessionTracker(ttl, 3*poll)
 	require.NoError(t, tracker.Observe([]cottonlanding.Row{sessionRow(t, "left", 7)}, 0, 0))
--- a/internal/coordination/registrar/golden_test.go
+++ b/internal/coordination/registrar/golden_test.go
@@ -10,7 +10,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/golden/comparer"
 )
 
-// TestGoldenSession guards against hosts of two versions that take each other for gone.
+// TestGoldenSession guards against hosts of two versions that can't decode each other's sessions and
+// count each other as ended.
 func TestGoldenSession(t *testing.T) {
 	encode := func(value any) []byte {
 		data, err := json.Marshal(value)
--- a/internal/coordination/registrar/registrar.go
+++ b/internal/coordination/registrar/registrar.go
@@ -1,8 +1,9 @@
-// Package registrar keeps the session row by which other daemons see that this
+// Package registrar renews the session row by which other daemons see that this
 // one is alive.
 //
-// The holder counts the session's time from before it sent a renewal, so that
-// it never believes in its session for longer than any observer does.
+// The registrar counts the session's time to live from before it sent a
+// renewal, so that the session expires in its own view before it does in any
+// observer's.
 package registrar
 
 import (
@@ -19,10 +20,10 @@
 	"github.com/cottonlanding/cottonlanding/internal/duty/waker"
 )
 
-// Prefix is where the session rows are.
+// Prefix is the key prefix of the session rows.
 const Prefix cottonlanding.Key = "Sessions/"
 
-// renewalsPerTTL is how often a session is renewed within its time to live.
+// renewalsPerTTL is the number of renewals of a session within its time to live.
 const renewalsPerTTL = 4
 
 // Session is the value of a session row.
@@ -31,13 +32,14 @@
 	DataCentre  cottonlanding.DataCentre
 	HTTPAddress cottonlanding.Address
 	PeerAddress cottonlanding.Address
-	// Seat numbers the holder's share of the executors' slots in its data
-	// centre, from 1. Zero is none.
+	// Seat is the number of the process's share of the executors' slots in its
+	// data centre, from 1; zero if it has none.
 	Seat int
-	// Starting tells that the holder can't take over yet: it has not watched for as
-	// long as it takes to see that another session has ended, or lacks what it needs.
+	// Starting is set while the process can't take over cells: it hasn't observed
+	// the sessions for long enough to see that another one has ended, or lacks
+	// its configuration or host list.
 	Starting bool `json:",omitempty"`
-	// Leaving tells that the holder hands over and will end.
+	// Leaving is set once the process hands over its cells before it stops.
 	Leaving bool
 	// Beat changes with each renewal.
 	Beat uint64
@@ -48,7 +50,7 @@
 	return Prefix + cottonlanding.Key(id)
 }
 
-// NewID returns an id that was never used.
+// NewID returns a new random id.
 func NewID() cottonlanding.SessionID {
 	return cottonlanding.SessionID(uuid.NewString())
 }
@@ -72,16 +74,16 @@
 	ended    chan struct{}
 }
 
-// State is a registrar's dump.
+// State is a Registrar's state for diagnostics.
 type State struct {
 	Session Session
-	// Remaining is how long the session lasts without a further renewal.
+	// Remaining is the time until the session ends unless it is renewed.
 	Remaining cottonlanding.Millis
 	Renewals  int64
 	Failures  int64
 }
 
-// New starts to renew the session with the time to live ttl.
+// New starts a Registrar that renews the session, whose time to live is ttl.
 func New(table cottonlanding.Table, clock cottonlanding.Clock, session Session, ttl cottonlanding.Millis) *Registrar {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Registrar{
@@ -101,14 +103,14 @@
 	return r
 }
 
-// Session returns the session as last changed here.
+// Session returns the session with the latest local changes, which may not be written yet.
 func (r *Registrar) Session() Session {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.session
 }
 
-// Valid reports whether no observer can have seen the session end yet.
+// Valid reports whether the session is still alive for all observers.
 func (r *Registrar) Valid() bool { return r.ValidUntil() > r.clock.Now() }
 
 // ValidUntil returns when the session ends unless it is renewed.
@@ -118,7 +120,7 @@
 	return r.validUntil
 }
 
-// State returns the dump.
+// State returns the state for diagnostics.
 func (r *Registrar) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,19 +132,19 @@
 	}
 }
 
-// SetSeat takes or gives up a seat with the next renewal, which is sent at once.
+// SetSeat changes the session's seat, zero to give it up, and renews the session at once.
 func (r *Registrar) SetSeat(seat int) {
 	r.change(func(s *Session) { s.Seat = seat })
 }
 
-// MarkStarted tells observers that this holder can take over, once.
+// MarkStarted announces that this process can take over cells. Calls after the first have no effect.
 func (r *Registrar) MarkStarted() {
 	if r.Session().Starting {
 		r.change(func(s *Session) { s.Starting = false })
 	}
 }
 
-// Leave tells observers to give this holder nothing more.
+// Leave announces that this process is stopping and must be given no more cells.
 func (r *Registrar) Leave() {
 	r.change(func(s *Session) { s.Leaving = true })
 }
@@ -154,7 +156,8 @@
 	r.renewNow.Wake()
 }
 
-// Close stops renewing and deletes the row if the table can be reached.
+// Close stops renewing and deletes the session row. It returns an error if the row couldn't be deleted;
+// the session then ends after its time to live.
 func (r *Registrar) Close(ctx context.Context) error {
 	r.cancel()
 	<-r.ended
@@ -180,8 +183,8 @@
 	}
 }
 
-// renew sends one renewal. A renewal that failed is not repeated: the next one
-// follows soon and expects the version that is found then.
+// renew sends one renewal. A failed renewal isn't retried: the next one follows
+// soon, with the row's version as found by then.
 func (r *Registrar) renew(timeout cottonlanding.Millis) {
 	ctx, cancel := context.WithTimeout(r.ctx, timeout.Duration())
 	defer cancel()
@@ -222,8 +225,8 @@
 	r.failures++
 }
 
-// readVersion learns the row's version after a renewal whose effect is unknown. The
-// session's time is not extended by it.
+// readVersion reads the row's version after a renewal whose effect is unknown.
+// It doesn't extend the session.
 func (r *Registrar) readVersion(ctx context.Context) {
 	rows, err := r.table.Read(ctx, SessionKey(r.Session().ID))
 	if err != nil {
--- a/internal/coordination/seizer/seizer.go
+++ b/internal/coordination/seizer/seizer.go
@@ -1,5 +1,5 @@
-// Package seizer changes who owns a cell. Each owner has a higher epoch than all
-// before it, and the version of the owner row guards all that it writes.
+// Package seizer changes the owner of a cell. Each owner has a higher epoch than
+// all owners before it, and the version of the owner row guards all its writes.
 package seizer
 
 import (
@@ -19,32 +19,34 @@
 	table cottonlanding.Table
 }
 
-// New returns a seizer.
+// New returns a Seizer that writes to table.
 func New(table cottonlanding.Table) *Seizer { return &Seizer{table: table} }
 
 // Seize makes session the owner in place of the one in row, which the caller
-// knows to have ended or to have released the cell. The zero row of a cell that
-// never had an owner names only the cell. The error is ErrConflict if another
-// was faster, ErrUnavailable, or ErrAmbiguous; after the last, a row that names
-// the session may still appear, whose epoch must then be superseded by another
-// Seize.
+// knows to have ended or to have released the cell. For a cell that never had an
+// owner, row has only its Cell set. The error is ErrConflict if another process
+// changed the row first, ErrUnavailable, or ErrAmbiguous. After ErrAmbiguous the
+// row may still come to name the session; its epoch must then be superseded by
+// another Seize.
 func (s *Seizer) Seize(ctx context.Context, row observer.OwnerRow, session cottonlanding.SessionID) (observer.OwnerRow, error) {
 	next := observer.Ownership{Cell: row.Cell, Owner: session, Epoch: row.Epoch + 1}
 	return s.replace(ctx, row, next)
 }
 
-// Release gives up a cell, so that the next owner need not wait.
+// Release gives up a cell, so that another process can seize it without waiting
+// for the session to end. Its errors are those of Seize.
 func (s *Seizer) Release(ctx context.Context, row observer.OwnerRow) error {
 	_, err := s.replace(ctx, row, observer.Ownership{Cell: row.Cell, Epoch: row.Epoch})
 	return err
 }
 
-// Guard returns the check that fails once another owner has seized the cell.
+// Guard returns the check that fails once the owner row has changed, as when another owner seized the cell.
 func Guard(row observer.OwnerRow) cottonlanding.Check {
 	return cottonlanding.Check{Key: observer.OwnerKey(row.Cell), Expect: row.Version}
 }
 
-// replace writes an owner row and looks after a lost answer whether it took effect.
+// replace writes an owner row. After a lost answer it reads the row back to see whether the write took
+// effect.
 func (s *Seizer) replace(ctx context.Context, row observer.OwnerRow, next observer.Ownership) (observer.OwnerRow, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
