--- a/internal/coordination/holder/ended_test.go
+++ b/internal/coordination/holder/ended_test.go
@@ -32,9 +32,9 @@
 func (f *fleet) kill(number int) {
 	killed := f.processes[number]
 	versions := make([]cottonlanding.Version, f.cells)
-	for cell, one := range killed.holders {
-		if one.ValidUntil() > 0 {
-			versions[cell] = one.View().Version
+	for cell, h := range killed.holders {
+		if h.ValidUntil() > 0 {
+			versions[cell] = h.View().Version
 		}
 	}
 	killed.close()
--- a/internal/coordination/holder/fleet_test.go
+++ b/internal/coordination/holder/fleet_test.go
@@ -74,8 +74,8 @@
 
 func (p *process) owned() int {
 	count := 0
-	for _, one := range p.holders {
-		if one != nil && one.ValidUntil() > 0 {
+	for _, h := range p.holders {
+		if h != nil && h.ValidUntil() > 0 {
 			count++
 		}
 	}
@@ -84,8 +84,8 @@
 
 func (p *process) ownedBy(owner cottonlanding.SessionID) int {
 	count := 0
-	for _, one := range p.holders {
-		if one != nil && one.View().Owner.ID == owner {
+	for _, h := range p.holders {
+		if h != nil && h.View().Owner.ID == owner {
 			count++
 		}
 	}
@@ -93,8 +93,8 @@
 }
 
 func (p *process) close() {
-	for _, one := range p.holders {
-		one.Close()
+	for _, h := range p.holders {
+		h.Close()
 	}
 	p.watcher.Close()
 }
@@ -214,9 +214,9 @@
 // processes that reach the table know them a second later, after the loss of one, half or all owners.
 func TestNewOwnersKnownWithinASecond(t *testing.T) {
 	const cells, large, small = 8, 16, 6
-	for _, gone := range []int{1, cells / 2, cells} {
+	for _, lost := range []int{1, cells / 2, cells} {
 		simulateFleet(t, cells, large, small, func(f *fleet) {
-			for cell := range gone {
+			for cell := range lost {
 				f.processes[f.owner(cell)].counted.set(func(t *table) { t.partitioned = true })
 			}
 			began, ownedAt := f.clock.Now(), cottonlanding.Millis(0)
@@ -229,9 +229,9 @@
 				if all && f.clock.Now()-began > fleetTiming.TTL {
 					ownedAt = f.clock.Now()
 				}
-				require.Less(t, f.clock.Now()-began, 2*takeOverWithin, "%d owners lost", gone)
+				require.Less(t, f.clock.Now()-began, 2*takeOverWithin, "%d owners lost", lost)
 			}
-			t.Logf("%d of %d owners lost: all cells have owners again after %s", gone, cells, ownedAt-began)
+			t.Logf("%d of %d owners lost: all cells have owners again after %s", lost, cells, ownedAt-began)
 			time.Sleep(time.Second)
 			f.requireOwned(large)
 		})
@@ -306,7 +306,7 @@
 // and learn of a new owner.
 func TestIdleProcessesFollowSlowTable(t *testing.T) {
 	const cells, large, small = 6, 8, 6
-	const inTouch = 2 * cottonlanding.Second
+	const contactLimit = 2 * cottonlanding.Second
 	const feedWait = 300 * time.Millisecond // for how long a slow table holds the feed open
 	for _, delayCalls := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
 		simulateFleet(t, cells, large, small, func(f *fleet) {
@@ -318,11 +318,11 @@
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
 				for _, p := range idle {
-					heardAt := p.watcher.LastContactAt()
-					for _, one := range p.holders {
-						heardAt = max(heardAt, one.View().Read)
+					lastContactAt := p.watcher.LastContactAt()
+					for _, h := range p.holders {
+						lastContactAt = max(lastContactAt, h.View().Read)
 					}
-					require.Less(t, f.clock.Now()-heardAt, inTouch, "calls take %s", delayCalls)
+					require.Less(t, f.clock.Now()-lastContactAt, contactLimit, "calls take %s", delayCalls)
 					require.True(t, p.holders[0].Slow())
 				}
 			}
@@ -345,13 +345,13 @@
 		idle.counted.set(func(t *table) { t.partitioned = true })
 		idle.holders[2].Nudge()
 		time.Sleep(100 * time.Millisecond)
-		for _, one := range idle.holders {
-			require.False(t, one.TableReachable())
+		for _, h := range idle.holders {
+			require.False(t, h.TableReachable())
 		}
 		idle.counted.set(func(t *table) { t.partitioned = false })
 		time.Sleep(3 * time.Second)
-		for _, one := range idle.holders {
-			require.True(t, one.TableReachable())
+		for _, h := range idle.holders {
+			require.True(t, h.TableReachable())
 		}
 	})
 }
@@ -361,13 +361,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		clock, store := cottonlanding.NewClock(), keeper.New()
 		watcher := holder.NewWatcher(store.Watched(clock), clock, discardLog, fleetTiming.SlowCall)
-		told := 0
-		watcher.Listen("P:Watched/x", func() { told++ })
+		notifications := 0
+		watcher.Listen("P:Watched/x", func() { notifications++ })
 		watcher.UpdateRow(cottonlanding.Row{Key: "P:Watched/x", Version: 9, Value: []byte("new")})
 		watcher.UpdateRow(cottonlanding.Row{Key: "P:Watched/x", Version: 8, Value: []byte("old")})
 		row, _ := watcher.Row("P:Watched/x")
 		require.Equal(t, "new", string(row.Value))
-		require.Equal(t, 1, told)
+		require.Equal(t, 1, notifications)
 		watcher.Close()
 	})
 }
--- a/internal/coordination/holder/holder.go
+++ b/internal/coordination/holder/holder.go
@@ -136,12 +136,12 @@
 		log:       writer.Of(deps.Log, writer.Owners).With("Cell", cell),
 		connected: true,
 	}
-	made := make(chan struct{}) // closed once h.duty is set, which a step uses
+	initialized := make(chan struct{}) // closed once h.duty is set, which a step uses
 	h.duty = repeater.New(timing.Poll, func(ctx context.Context) {
-		<-made
+		<-initialized
 		h.step(ctx)
 	})
-	close(made)
+	close(initialized)
 	deps.Watcher.Listen(h.watched(ownerRow), h.duty.Nudge)
 	deps.Watcher.Listen(h.watched(requestRow), h.duty.Nudge)
 	return h
--- a/internal/coordination/holder/holder_test.go
+++ b/internal/coordination/holder/holder_test.go
@@ -72,12 +72,12 @@
 
 // joinMember starts a member with its own timing.
 func joinMember(store *keeper.Keeper, clock cottonlanding.Clock, self holder.Member, timing holder.Timing) member {
-	one := &table{Table: store}
+	faulty := &table{Table: store}
 	requested := make(chan holder.Member, 10)
-	watcher := holder.NewWatcher(feed{store.Watched(clock), one}, clock, discardLog, timing.SlowCall)
-	deps := dependencies(one, watcher, holder.NewReader(one, clock, watcher, partition), clock)
+	watcher := holder.NewWatcher(feed{store.Watched(clock), faulty}, clock, discardLog, timing.SlowCall)
+	deps := dependencies(faulty, watcher, holder.NewReader(faulty, clock, watcher, partition), clock)
 	deps.CellRequested = func(to holder.Member) { requested <- to }
-	return member{holder.New(deps, 0, self, timing), watcher, one, requested}
+	return member{holder.New(deps, 0, self, timing), watcher, faulty, requested}
 }
 
 // owners returns the numbers of the members that are owners in their own view.
@@ -282,9 +282,9 @@
 			store := keeper.New()
 			var members []member
 			for number, share := range []float64{0.1, 0.2, 0.8, 0.1, 0.7, 0.2} {
-				one := joinWithShare(store, clock, fmt.Sprintf("m%d-%d", draw, number), share)
-				defer one.Close()
-				members = append(members, one)
+				m := joinWithShare(store, clock, fmt.Sprintf("m%d-%d", draw, number), share)
+				defer m.Close()
+				members = append(members, m)
 			}
 			large := func() int {
 				time.Sleep(3 * time.Second)
