--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -27,7 +27,7 @@
 	retainedGenerations = 20
 )
 
-// head is the value of the head row.
+// head is the value of the head row, which names the newest generation.
 type head struct {
 	Generation cottonlanding.Generation
 }
--- a/internal/coordination/holder/member.go
+++ b/internal/coordination/holder/member.go
@@ -35,8 +35,8 @@
 	// BeatAge is how long the owner's beat row had been unchanged at Read, as far as this member
 	// has seen.
 	BeatAge cottonlanding.Millis
-	// BeforeUntil is set in the owner's own view: the instant at which the previous owner's
-	// ownership had expired at the latest.
+	// BeforeUntil is set in the owner's own view: the instant by which the previous ownership had
+	// expired in the previous owner's view, at the latest.
 	BeforeUntil cottonlanding.Millis
 	// Report is the owner's report of its cell from its last beat; other members see it up to a
 	// poll later.
