--- a/internal/coordination/committer/resolve.go
+++ b/internal/coordination/committer/resolve.go
@@ -51,7 +51,7 @@
 
 func (c *Committer) closedError(ambiguous bool) error {
 	if ambiguous {
-		return fmt.Errorf("committer closed before the outcome was known: %w", cottonlanding.ErrAmbiguous)
+		return fmt.Errorf("committer closed while in doubt: %w", cottonlanding.ErrAmbiguous)
 	}
 	return fmt.Errorf("committer closed: %w", cottonlanding.ErrUnavailable)
 }
--- a/internal/workflow/planner/job.go
+++ b/internal/workflow/planner/job.go
@@ -221,7 +221,7 @@
 func (c *Cell) Submit(workflow cottonlanding.Workflow, now cottonlanding.Millis, done func(error)) {
 	if known := c.jobs[workflow.ID]; known != nil {
 		if known.isDelegatedHere() {
-			done(fmt.Errorf("cell %s owns workflow %s: %w", known.delegatedBy, workflow.ID, cottonlanding.ErrUnavailable))
+			done(fmt.Errorf("cell %s keeps workflow %s: %w", known.delegatedBy, workflow.ID, cottonlanding.ErrUnavailable))
 			return
 		}
 		c.whenCommitted(workflow.ID, done)
--- a/internal/workflow/planner/referral.go
+++ b/internal/workflow/planner/referral.go
@@ -85,7 +85,7 @@
 		delete(c.unplannedReferrals, id)
 		done(nil)
 	case known.forgotten:
-		done(fmt.Errorf("the referral of workflow %s is being removed: %w", id, cottonlanding.ErrUnavailable))
+		done(fmt.Errorf("the referral of workflow %s is being forgotten: %w", id, cottonlanding.ErrUnavailable))
 	case known.version > 0:
 		done(nil)
 	case c.unplannedReferrals[id] != nil:
--- a/internal/workflow/planner/rowlimit.go
+++ b/internal/workflow/planner/rowlimit.go
@@ -69,7 +69,7 @@
 func encodeSpec(workflow cottonlanding.Workflow, queue cottonlanding.Queue) ([]byte, error) {
 	data := encode(specRow{workflow, queue})
 	if len(data) > maxRowBytes {
-		return nil, fmt.Errorf("%w: encoded workflow has %d bytes, the limit is %d", cottonlanding.ErrCannotRun, len(data), maxRowBytes)
+		return nil, fmt.Errorf("%w: it takes %d bytes to keep, at most %d are allowed", cottonlanding.ErrCannotRun, len(data), maxRowBytes)
 	}
 	return data, nil
 }
--- a/internal/workflow/planner/rowsize.go
+++ b/internal/workflow/planner/rowsize.go
@@ -121,7 +121,7 @@
 		return nil
 	}
 	return fmt.Errorf(
-		"%w: its lasting tasks and its largest gang, placed at once, may need over %d bytes of row at %d bytes per worker",
+		"%w: its lasting tasks and its largest gang must be placed at once, which may take over %d bytes to keep where a worker takes %d",
 		cottonlanding.ErrCannotRun, maxRowBytes, longest)
 }
 
--- a/workflow.go
+++ b/workflow.go
@@ -103,7 +103,7 @@
 	case len(w.Steps) == 0 || len(w.Steps) > maxSteps:
 		return fmt.Errorf("%w: %d steps, must be 1 to %d", ErrCannotRun, len(w.Steps), maxSteps)
 	case w.Schedule.Rounds < 0 || w.Schedule.Rounds > 0 && w.Schedule.Interval < 0:
-		return fmt.Errorf("%w: the schedule has a negative interval or number of rounds", ErrCannotRun)
+		return fmt.Errorf("%w: the schedule goes backwards", ErrCannotRun)
 	}
 	total := 0
 	for at, step := range w.Steps {
@@ -127,7 +127,7 @@
 	}
 	for _, earlier := range s.After {
 		if earlier < 0 || earlier >= at {
-			return fmt.Errorf("depends on step %d, which is not an earlier step", earlier)
+			return fmt.Errorf("must come after step %d, which is no earlier step", earlier)
 		}
 	}
 	return nil
