--- a/internal/workflow/driver/driver.go
+++ b/internal/workflow/driver/driver.go
@@ -83,7 +83,7 @@
 	// Delegate returns the cells that are to run tasks which wait without room here.
 	Delegate func([]planner.DelegableTask) []planner.Delegation
 	// SendDelegationRequest asks another cell about the tasks that it is to run for this one.
-	SendDelegationRequest func(ctx context.Context, to cottonlanding.CellNumber, question planner.DelegationRequest) (planner.DelegationResponse, error)
+	SendDelegationRequest func(ctx context.Context, to cottonlanding.CellNumber, request planner.DelegationRequest) (planner.DelegationResponse, error)
 	// IsHome reports whether this cell is the home of a workflow.
 	IsHome func(cottonlanding.WorkflowID) bool
 	// Siblings returns the partitions of all other cells.
--- a/internal/workflow/driver/evacuate_test.go
+++ b/internal/workflow/driver/evacuate_test.go
@@ -33,11 +33,11 @@
 		var evacuated atomic.Bool
 		starts := startQueuedRuns(t, func(deps *driver.Dependencies) {
 			deps.Evacuations = func() cottonlanding.Evacuations {
-				now := cottonlanding.Evacuations{ReadAt: deps.Clock.Now()}
+				current := cottonlanding.Evacuations{ReadAt: deps.Clock.Now()}
 				if evacuated.Load() {
-					now.InForce = map[cottonlanding.DataCentre]cottonlanding.Evacuation{queueDataCentre: {DataCentre: queueDataCentre, Version: 7}}
+					current.InForce = map[cottonlanding.DataCentre]cottonlanding.Evacuation{queueDataCentre: {DataCentre: queueDataCentre, Version: 7}}
 				}
-				return now
+				return current
 			}
 		})
 		evacuated.Store(true)
