--- a/internal/workflow/driver/calls.go
+++ b/internal/workflow/driver/calls.go
@@ -8,7 +8,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// ReferredError reports that another cell keeps the workflow and is to be asked.
+// ReferredError reports that a workflow is kept in another cell, which is to be asked instead.
 type ReferredError struct {
 	To cottonlanding.CellNumber
 }
@@ -16,11 +16,10 @@
 // Error implements error.
 func (e *ReferredError) Error() string { return fmt.Sprintf("the workflow is kept in cell %s", e.To) }
 
-// Submit hands in a workflow at its home. The error is a ReferredError if another cell
-// is to keep it, ErrUnavailable, ErrNotFound, ErrCannotRun if it was not accepted,
-// ErrAmbiguous if that is unknown. While the owner is behind with its decisions it refuses
-// what it doesn't know yet at once: the answer would come too late, and each workflow
-// more would put it further behind.
+// Submit submits a workflow to its home cell. The error is a ReferredError if another cell is to keep the workflow;
+// ErrUnavailable, ErrNotFound or ErrCannotRun if it was not accepted; ErrAmbiguous if that is unknown. An overloaded
+// owner rejects workflows that it doesn't know at once: the answer would come too late, and each further workflow would
+// make its decisions longer.
 func (d *Driver) Submit(ctx context.Context, workflow cottonlanding.Workflow) error {
 	var referred *ReferredError
 	err := d.update(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
@@ -37,7 +36,7 @@
 	return err
 }
 
-// referral returns the cell to which a workflow was referred, or is to be.
+// referral returns the cell to which a workflow was referred or is to be referred.
 func (d *Driver) referral(cell *planner.Cell, workflow cottonlanding.Workflow, now cottonlanding.Millis) (cottonlanding.CellNumber, bool) {
 	if to, found := cell.Referral(workflow.ID); found {
 		return to, true
@@ -49,8 +48,7 @@
 	return d.deps.ReferralTarget(workflow, report, usable)
 }
 
-// SubmitReferred hands in a workflow that its home has referred to this cell. The errors are as
-// for Submit.
+// SubmitReferred submits a workflow that its home cell has referred to this cell. The errors are those of Submit.
 func (d *Driver) SubmitReferred(ctx context.Context, workflow cottonlanding.Workflow) error {
 	return d.update(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
 		d.accept(cell, workflow, now, done)
@@ -59,13 +57,13 @@
 
 func (d *Driver) accept(cell *planner.Cell, workflow cottonlanding.Workflow, now cottonlanding.Millis, done func(error)) {
 	if d.overloaded.Load() && !cell.Knows(workflow.ID) {
-		done(fmt.Errorf("the owner is behind with its decisions: %w", cottonlanding.ErrUnavailable))
+		done(fmt.Errorf("the owner is overloaded: %w", cottonlanding.ErrUnavailable))
 		return
 	}
 	cell.Submit(workflow, now, done)
 }
 
-// Cancel cancels a workflow. The errors are as for Submit.
+// Cancel cancels a workflow. The errors are those of Submit.
 func (d *Driver) Cancel(ctx context.Context, id cottonlanding.WorkflowID) error {
 	var referred *ReferredError
 	err := d.update(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
@@ -89,7 +87,7 @@
 	done := make(chan error, 1)
 	if err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) {
 		if ctx.Err() != nil {
-			done <- fmt.Errorf("its caller has given up: %w", cottonlanding.ErrUnavailable)
+			done <- fmt.Errorf("the caller has given up: %w", cottonlanding.ErrUnavailable)
 			return
 		}
 		do(cell, now, func(err error) { done <- err })
@@ -106,7 +104,7 @@
 	}
 }
 
-// withCell runs do on the cell, if it is loaded and surely owned.
+// withCell calls do with the cell if it is loaded and this process is guaranteed to own it.
 func (d *Driver) withCell(do func(*planner.Cell, cottonlanding.Millis)) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,7 +116,7 @@
 	return nil
 }
 
-// query returns what the cell answers, or nothing while it isn't owned.
+// query returns what read returns for the cell, or the zero value while the cell isn't owned.
 func query[T any](d *Driver, read func(*planner.Cell, cottonlanding.Millis) T) (answer T) {
 	if err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) { answer = read(cell, now) }); err != nil {
 		return answer // the zero value
@@ -126,7 +124,7 @@
 	return answer
 }
 
-// State returns the committed state of a workflow, a ReferredError, or ErrNotFound.
+// State returns the committed state of a workflow. The error is a ReferredError, ErrNotFound or ErrUnavailable.
 func (d *Driver) State(id cottonlanding.WorkflowID) (cottonlanding.WorkflowState, error) {
 	var state cottonlanding.WorkflowState
 	var to cottonlanding.CellNumber
@@ -146,15 +144,15 @@
 	return state, nil
 }
 
-// Waiting counts the accepted workflows of a queue that have not begun.
+// Waiting counts the accepted workflows of a queue that have not begun. The error is ErrUnavailable.
 func (d *Driver) Waiting(queue cottonlanding.QueueName) (int, error) {
 	count := 0
 	err := d.withCell(func(cell *planner.Cell, _ cottonlanding.Millis) { count = cell.Waiting(queue) })
 	return count, err
 }
 
-// Report returns what was left of the cell lately, and false if that isn't known or the
-// cell had no usable workers. It doesn't wait for decisions.
+// Report returns the free capacity of the cell after the last decision, and false if that is older than maxReportAge or
+// the cell had no usable workers. It doesn't wait for decisions.
 func (d *Driver) Report() (planner.Report, bool) {
 	last := d.lastReport.Load()
 	if last == nil || d.deps.Clock.Now()-last.at > maxReportAge {
@@ -163,15 +161,14 @@
 	return last.report, last.usable
 }
 
-// OldReferrals returns up to a number of workflows that were referred long ago, with the
-// cells that keep them.
+// OldReferrals returns at most limit workflows that were referred long ago, with the cells that keep them.
 func (d *Driver) OldReferrals(limit int) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	return query(d, func(cell *planner.Cell, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 		return cell.OldReferrals(limit, now)
 	})
 }
 
-// ResolveReferral takes in whether the cell that keeps a referred workflow still knows it.
+// ResolveReferral records whether the cell that keeps a referred workflow still knows it.
 func (d *Driver) ResolveReferral(id cottonlanding.WorkflowID, known bool) {
 	err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) {
 		if known {
@@ -186,7 +183,7 @@
 	d.decisionsDue.Wake()
 }
 
-// Counts returns what the cell has counted.
+// Counts returns the counters of the cell.
 func (d *Driver) Counts() planner.Counts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -196,5 +193,5 @@
 	return d.cell.Counts()
 }
 
-// Stats returns how quickly this owner got on lately.
+// Stats returns the statistics of this owner that were logged last.
 func (d *Driver) Stats() Stats { return d.meter.stats() }
--- a/internal/workflow/driver/cellserializer.go
+++ b/internal/workflow/driver/cellserializer.go
@@ -7,15 +7,14 @@
 	"github.com/cottonlanding/cottonlanding/internal/duty/waker"
 )
 
-// cellSerializer are the ways to other cells. On each one thing is done at a time, and a cell that
-// gives no answer holds up its own lane alone.
+// cellSerializer runs one call to each cell at a time, so that a cell which gives no answer delays only its own calls.
 type cellSerializer struct {
 	work *sync.WaitGroup
-	// retry is woken when a lane becomes free on which there was more to do meanwhile.
+	// retry is woken when a call has ended and another one to the same cell was skipped meanwhile.
 	retry waker.Waker
 
 	mu sync.Mutex
-	// busy holds the cells whose lanes are taken, and whether there was more to do.
+	// busy holds the cells with a call under way, and whether another call was skipped meanwhile.
 	busy map[cottonlanding.CellNumber]bool
 }
 
@@ -23,7 +22,7 @@
 	return &cellSerializer{work: work, retry: retry, busy: make(map[cottonlanding.CellNumber]bool)}
 }
 
-// run does a step on the lane to a cell, unless the lane is taken.
+// run starts a call to a cell, unless one is under way.
 func (s *cellSerializer) run(to cottonlanding.CellNumber, call func()) {
 	if !s.acquire(to) {
 		return
@@ -36,7 +35,7 @@
 	})
 }
 
-// acquire reports whether the lane was free.
+// acquire marks the cell as busy, and reports whether no call was under way.
 func (s *cellSerializer) acquire(to cottonlanding.CellNumber) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +44,7 @@
 	return !busy
 }
 
-// release frees the lane, and reports whether there was more to do while it was taken.
+// release marks the cell as idle, and reports whether a call was skipped while it was busy.
 func (s *cellSerializer) release(to cottonlanding.CellNumber) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/workflow/driver/claim.go
+++ b/internal/workflow/driver/claim.go
@@ -11,30 +11,30 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// fenceRow is the row that every transaction of a cell checks. Who owns the cell stands
-// in another partition, which a transaction can't check.
+// fenceRow is the row that every transaction of a cell checks. The owner of the cell is recorded in another partition,
+// which a transaction can't check.
 const fenceRow = "Fence"
 
-// fence is the value of that row.
+// fence is the value of the fence row.
 type fence struct {
-	// Epoch is that of the owner which wrote it.
+	// Epoch is that of the owner that wrote the row.
 	Epoch cottonlanding.Epoch
-	// BoundsKeptSince is the epoch from which on all owners that have written the row keep to lease bounds.
+	// BoundsKeptSince is the epoch since which all owners that wrote the row observe lease bounds.
 	BoundsKeptSince cottonlanding.Epoch `json:",omitempty"`
 }
 
-// errSuperseded reports that a later owner has written the fence.
+// errSuperseded reports that a later owner has written the fence row.
 var errSuperseded = errors.New("a later owner has claimed the cell")
 
-// claim writes the fence of this ownership, until that succeeds. From then on no owner
-// before commits anything, so that what is read afterwards stays.
+// claim writes the fence row of this ownership, and retries until that succeeds. From then on no earlier owner can
+// commit, so that the rows read afterwards don't change.
 func (d *Driver) claim() (cottonlanding.Check, fence, error) {
 	for {
 		check, written, err := d.tryClaim()
 		if err == nil || errors.Is(err, errSuperseded) || d.ctx.Err() != nil {
 			return check, written, err
 		}
-		d.deps.Log.Warn("claim the cell", "Epoch", d.setup.Epoch, "Error", err)
+		d.deps.Log.Warn("could not claim the cell yet", "Epoch", d.setup.Epoch, "Error", err)
 		d.sleep(loadRetryInterval)
 	}
 }
@@ -53,7 +53,7 @@
 			return cottonlanding.Check{}, fence{}, fmt.Errorf("row %s: %w", key, err)
 		}
 		if previous.Epoch == d.setup.Epoch {
-			return cottonlanding.Check{Key: key, Expect: row.Version}, previous, nil // an answer was lost
+			return cottonlanding.Check{Key: key, Expect: row.Version}, previous, nil // an earlier answer was lost
 		}
 		if previous.Epoch > d.setup.Epoch {
 			return cottonlanding.Check{}, fence{}, fmt.Errorf("%w: epoch %d", errSuperseded, previous.Epoch)
@@ -76,7 +76,7 @@
 func encodeFence(value fence) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(fmt.Sprintf("encode fence: %v", err)) // the type has no field that can fail
+		panic(fmt.Sprintf("encode fence: %v", err)) // no field of the type can fail to be encoded
 	}
 	return data
 }
--- a/internal/workflow/driver/claim_test.go
+++ b/internal/workflow/driver/claim_test.go
@@ -16,9 +16,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// TestFenceStopsEarlierOwners starts the owner of a later epoch while one before goes on to
-// believe in itself, as after a pause: what that one commits no longer counts, and one that
-// comes late with an earlier epoch does nothing at all.
+// TestFenceStopsEarlierOwners guards against an earlier owner that has not noticed its successor, as after a pause: its
+// commits must not count any more. An owner that starts late with an earlier epoch does nothing at all.
 func TestFenceStopsEarlierOwners(t *testing.T) {
 	clock, table := cottonlanding.NewClock(), keeper.New()
 	fakeWorkers := runner.New(clock, func(cottonlanding.RunKey) runner.Fate { return runner.Fate{Lasts: 100} })
--- a/internal/workflow/driver/commitlag_test.go
+++ b/internal/workflow/driver/commitlag_test.go
@@ -12,7 +12,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// slowCommits takes a while for each commit.
+// slowCommits delays each commit.
 type slowCommits struct {
 	cottonlanding.Table
 	delay time.Duration
@@ -23,8 +23,8 @@
 	return s.Table.Commit(ctx, transaction)
 }
 
-// TestLeaseRenewalDuringCommitLag: more changes than a commit takes must not
-// keep a worker from being looked at, though its ends are told as seen only later.
+// TestLeaseRenewalDuringCommitLag guards against leases that expire because more changes come than commits can take:
+// workers must be polled even if their ends are acknowledged only later.
 func TestLeaseRenewalDuringCommitLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOwner(t, setup{workers: 4, tasksPerWorker: 64, policy: spreadPlacement(), table: func(inner cottonlanding.Table) cottonlanding.Table {
@@ -39,7 +39,7 @@
 		}
 		counts := o.driver.Counts()
 		t.Logf("ends: %v, lost: %d", counts.Ends, counts.Lost)
-		require.Zero(t, counts.Ends[cottonlanding.EndLapsed], "runs whose lease ran out on a worker that answers")
+		require.Zero(t, counts.Ends[cottonlanding.EndLapsed], "runs whose lease expired on a responsive worker")
 		require.Equal(t, 4, o.runner.Lasting())
 	})
 }
--- a/internal/workflow/driver/datacentrepartition_test.go
+++ b/internal/workflow/driver/datacentrepartition_test.go
@@ -15,12 +15,12 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// partitionedClient is workers dealt over five data centres of which one can be cut off: what is sent there
-// gets no answer.
+// partitionedClient spreads the workers over five data centres, one of which can be partitioned: calls to its workers
+// get no answer.
 type partitionedClient struct {
 	cottonlanding.RunClient
 	partitioned *atomic.Bool
-	// startsDuringPartition counts the starts that were sent there while it was cut off.
+	// startsDuringPartition counts the starts that were sent to the partitioned data centre.
 	startsDuringPartition *atomic.Int64
 }
 
@@ -46,17 +46,17 @@
 	if !c.unreachable(worker) {
 		report, err = c.RunClient.Poll(ctx, worker, poll)
 	}
-	if c.unreachable(worker) { // the answer may be cut off, too
+	if c.unreachable(worker) { // the answer may be lost, too
 		<-ctx.Done()
 		return cottonlanding.RunReport{}, cottonlanding.ErrAmbiguous
 	}
 	return report, err
 }
 
-// TestFewStartsInPartitionedDataCentre plays the load of many short tasks while a data centre
-// is cut off: a start that is sent there waits for the end of the cut, and its job with it. Found
-// silent together, its workers get less than half of what each gets until it is found silent by
-// itself; once they answer, they are given tasks again.
+// TestFewStartsInPartitionedDataCentre guards against short tasks that are started in a partitioned data centre: such a
+// start waits for the end of the partition, and its workflow with it. Workers that are found silent as a data centre
+// get less than half of the starts that they get if each is found silent by itself, and get tasks again once they
+// answer.
 func TestFewStartsInPartitionedDataCentre(t *testing.T) {
 	const (
 		startsPerSecond = 100 / dataCentreCount
@@ -89,14 +89,15 @@
 			o.driver.Close()
 		})
 	}
-	t.Logf("starts that were sent into the cut: %d worker by worker, %d as a place", started[true], started[false])
+	t.Logf("starts sent to the partitioned data centre: %d with silence per worker, %d with silence per data centre",
+		started[true], started[false])
 	require.Less(t, started[false], started[true])
 	require.LessOrEqual(t, started[false], int64(startsPerSecond*detectionTime/time.Second))
 }
 
-// TestColocationLimitsPartitionImpact plays the same load with workflows of twenty tasks that
-// take a second when the cut begins: kept together, it holds up no more of them than the part of
-// the data centres that it takes and one that was being placed; dealt out, it holds up all.
+// TestColocationLimitsPartitionImpact guards against a partition of one data centre that delays the workflows of all.
+// With the twenty tasks of each workflow colocated, it delays no more workflows than the data centre's share and one
+// that was being placed; with the tasks spread, it delays all.
 func TestColocationLimitsPartitionImpact(t *testing.T) {
 	const workflows, tasks = 30, 20
 	delayed := make(map[bool]int)
@@ -122,7 +123,7 @@
 			o.driver.Close()
 		})
 	}
-	t.Logf("of %d workflows %d are held up if dealt out, %d if kept together", workflows, delayed[true], delayed[false])
+	t.Logf("of %d workflows %d are delayed if spread, %d if colocated", workflows, delayed[true], delayed[false])
 	require.Greater(t, delayed[true], 2*delayed[false])
 	require.LessOrEqual(t, delayed[false], workflows/dataCentreCount+1)
 }
--- a/internal/workflow/driver/delegation.go
+++ b/internal/workflow/driver/delegation.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// delegationInterval is how often it is looked for tasks to delegate: as often as other cells tell of
-	// their room.
+	// delegationInterval is how often tasks to delegate are looked for: as often as other cells report their free
+	// capacity.
 	delegationInterval = handOverInterval
-	// maxDelegableTasks bounds the tasks that are weighed at a time.
+	// maxDelegableTasks bounds the tasks that are considered at a time.
 	maxDelegableTasks = 100
-	// delegationRequestInterval is how often other cells are asked about the tasks that they run. It is a small part
-	// of the time for which a guest cell may start tasks after each answer.
+	// delegationRequestInterval is how often other cells are asked about the tasks that they run. It is a small part of
+	// the time for which a delegate cell may start tasks after each response.
 	delegationRequestInterval = 250 * cottonlanding.Millis(1)
 )
 
-// delegate looks for tasks that wait here while another cell has room. The caller holds the lock.
+// delegate delegates tasks that wait here while another cell has room. The caller holds the lock.
 func (d *Driver) delegate(now cottonlanding.Millis) {
 	if d.deps.Delegate == nil {
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-// sendDelegationRequests asks the cells that run tasks of this one, again and again.
+// sendDelegationRequests sends requests to the cells that run tasks of this one until the driver ends.
 func (d *Driver) sendDelegationRequests() {
 	delegates := make(map[cottonlanding.CellNumber]*delegateCell)
 	serializer := newCellSerializer(&d.work, d.delegationRequestsDue)
@@ -62,14 +62,14 @@
 type delegateCell struct {
 	driver *Driver
 	cell   cottonlanding.CellNumber
-	// lastStamp is the stamp of its lastStamp answer.
+	// lastStamp is the stamp of the last response.
 	lastStamp planner.DelegationStamp
-	// unresponsive says that the last question got no answer.
+	// unresponsive says that the last request got no response.
 	unresponsive bool
 }
 
-// sendRequest asks the cell. After the first answer of an owner it asks again at once: only the second question
-// shows that owner how old it is.
+// sendRequest sends a request to the cell. After the first response of an owner it sends the next one at once: only the
+// second request shows that owner how old a request is.
 func (c *delegateCell) sendRequest(workflows []planner.DelegatedWorkflow) {
 	for range 2 {
 		ctx, cancel := context.WithTimeout(c.driver.ctx, callTimeout.Duration())
@@ -84,7 +84,7 @@
 		if err := c.driver.withCell(func(cell *planner.Cell, now cottonlanding.Millis) {
 			cell.RecordDelegationResponse(c.cell, response, now)
 		}); err != nil {
-			return // it isn't owned any more
+			return // the cell isn't owned any more
 		}
 		c.driver.decisionsDue.Wake()
 		if sameOwner {
@@ -93,7 +93,7 @@
 	}
 }
 
-// recordOutcome logs when the cell gives no answer, and when it does again.
+// recordOutcome logs when the cell stops responding, and when it responds again.
 func (c *delegateCell) recordOutcome(err error) {
 	unresponsive := err != nil
 	if unresponsive == c.unresponsive {
@@ -119,15 +119,15 @@
 	return response, err
 }
 
-// UnconfirmedDelegated returns up to a number of guests about which nothing was asked for long, with the cells
-// that keep their workflows.
+// UnconfirmedDelegated returns at most limit delegated workflows about which no request has come for long, with the
+// cells that keep these workflows.
 func (d *Driver) UnconfirmedDelegated(limit int) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	return query(d, func(cell *planner.Cell, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 		return cell.UnconfirmedDelegated(limit, now)
 	})
 }
 
-// ResolveDelegated takes in whether the workflow of a guest goes on.
+// ResolveDelegated records whether a delegated workflow is still active.
 func (d *Driver) ResolveDelegated(id cottonlanding.WorkflowID, active bool) {
 	if err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) { cell.ResolveDelegated(id, active, now) }); err != nil {
 		return // the next owner asks again
--- a/internal/workflow/driver/driver.go
+++ b/internal/workflow/driver/driver.go
@@ -1,5 +1,5 @@
-// Package driver runs a cell of workflows while this process owns it: it loads
-// the rows, commits decisions, sends orders, and looks at the workers.
+// Package driver runs a cell of workflows while this process owns it: it loads the rows, commits decisions, sends
+// orders, and polls the workers.
 package driver
 
 import (
@@ -21,41 +21,40 @@
 )
 
 const (
-	// tick is the longest time between two decisions.
+	// tick is the maximum time between two decisions.
 	tick = 100 * cottonlanding.Millis(1)
-	// coalescingInterval is the least time between two transactions, so that what happens
-	// meanwhile shares the next one; the table takes about 15 ms for one.
+	// coalescingInterval is the minimum time between two transactions, so that changes in between share the next one;
+	// the table takes about 15 ms for a transaction.
 	coalescingInterval = 15 * cottonlanding.Millis(1)
-	// maxWritesPerTransaction keeps a transaction below the table's 100 entries.
+	// maxWritesPerTransaction keeps a transaction below the table's limit of 100 entries.
 	maxWritesPerTransaction = 95
 	tableTimeout            = cottonlanding.Second
-	// callTimeout bounds an order, and a look beyond the wait that it asks for.
+	// callTimeout bounds an order, and a poll beyond the wait that it asks for.
 	callTimeout       = cottonlanding.Second
 	loadRetryInterval = 100 * cottonlanding.Millis(1)
-	// initialPageSize is how many rows are read at once at first: with the usual payloads they
-	// come over a link of 10 Mbit/s within a quarter of tableTimeout. A page that doesn't
-	// arrive is halved, down to leastPage.
+	// initialPageSize is how many rows are read at once at first: with usual payloads they come over a 10-Mbit/s link
+	// within a quarter of tableTimeout. A page that doesn't arrive is halved, down to minPageSize.
 	initialPageSize = 150
 	minPageSize     = 25
-	// overloadThreshold is how long a decision takes at most for new work to be accepted: what
-	// comes just after it began waits for it, for as long a pause, for the next decision
-	// and for a commit, and has 1.2 s for all of that.
+	// overloadThreshold is the maximum duration of a decision with which new work is accepted. A request that comes
+	// just after a decision has begun waits for it, for a pause of the same length, for the next decision and for a
+	// commit, and has 1.2 s for all of these.
 	overloadThreshold = 350 * cottonlanding.Millis(1)
-	// slowCommitThreshold is from how long a commit on the table counts as slow.
+	// slowCommitThreshold is the duration from which a commit counts as slow.
 	slowCommitThreshold = 300 * cottonlanding.Millis(1)
-	// maxReportAge is how old what is left of a cell may be to be told: three beats.
+	// maxReportAge is the maximum age of a capacity report that is passed on: three heartbeats.
 	maxReportAge = 900 * cottonlanding.Millis(1)
-	// maxImmediatePolls bounds the looks that ask for an answer at once, promptHold is how
-	// long one counts as such while others are answered sooner. A small host takes some 10 ms
-	// for each: it reads the answers within callTimeout, and workers that are cut off don't
-	// hold up the others for more than a second.
+	// maxImmediatePolls bounds the polls under way that ask for an answer at once. A small host takes about 10 ms for
+	// each, so that it reads the answers within callTimeout.
 	maxImmediatePolls = 32
-	pollSlotTimeout   = 250 * cottonlanding.Millis(1)
+	// pollSlotTimeout is how long such a poll holds its slot while others are answered sooner, so that workers that
+	// can't be reached delay the others by a second at most.
+	pollSlotTimeout = 250 * cottonlanding.Millis(1)
 )
 
 // Dependencies are what a driver works with.
 type Dependencies struct {
-	// Cell is the one that is driven.
+	// Cell is the driven cell.
 	Cell  cottonlanding.CellNumber
 	Table cottonlanding.Table
 	// TableClock returns a reading of the table's clock, and false while there is none. It may be nil.
@@ -65,22 +64,22 @@
 	Log        *slog.Logger
 	// ListWorkers returns the workers, and false before they are known.
 	ListWorkers func() ([]cottonlanding.WorkerInfo, bool)
-	// ListedAt returns as of when the list is complete.
+	// ListedAt returns the instant as of which the list of workers is complete.
 	ListedAt func() cottonlanding.Millis
-	// Queues returns the newest configuration; version zero is none.
+	// Queues returns the newest configuration; version zero means that there is none.
 	Queues func() cottonlanding.Queues
-	// Evacuations returns where nothing new may start, as read last.
+	// Evacuations returns the evacuations that were read last; nothing may start in an evacuated data centre.
 	Evacuations func() cottonlanding.Evacuations
-	// ValidUntil returns until when this process surely owns the cell.
+	// ValidUntil returns the instant until which this process is guaranteed to own the cell.
 	ValidUntil func() cottonlanding.Millis
-	// ReferralTarget returns the cell that is to keep a new workflow, if it isn't this one, of
-	// which it gets what is left, and whether it has usable workers.
+	// ReferralTarget returns the cell that is to keep a new workflow, if it isn't this one. It is given the free
+	// capacity of this cell, and whether this cell has usable workers.
 	ReferralTarget func(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool)
-	// HandOverTarget returns the cell to which a workflow that waits is to be handed over, by the same.
+	// HandOverTarget is the same for a waiting workflow, which is handed over to the cell that it returns.
 	HandOverTarget func(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool)
-	// Deliver tells another cell of a workflow that it is to keep.
+	// Deliver submits a workflow that was handed over to the cell that is to keep it.
 	Deliver func(ctx context.Context, workflow cottonlanding.Workflow, to cottonlanding.CellNumber) error
-	// Delegate returns the cells that are to run tasks which wait without room here.
+	// Delegate returns the cells that are to run tasks for which this cell has no room.
 	Delegate func([]planner.DelegableTask) []planner.Delegation
 	// SendDelegationRequest asks another cell about the tasks that it is to run for this one.
 	SendDelegationRequest func(ctx context.Context, to cottonlanding.CellNumber, request planner.DelegationRequest) (planner.DelegationResponse, error)
@@ -88,7 +87,7 @@
 	IsHome func(cottonlanding.WorkflowID) bool
 	// Siblings returns the partitions of all other cells.
 	Siblings func() []cottonlanding.Partition
-	// OnLost is called once when another owner was seen.
+	// OnLost is called once when the cell is lost to another owner.
 	OnLost func()
 }
 
@@ -103,7 +102,7 @@
 	cell           *planner.Cell
 	pollers        map[cottonlanding.WorkerID]waker.Waker
 	lastWorkerList []cottonlanding.WorkerInfo
-	// lastHandOverAt is when it was last looked for workflows to hand over, delegatedAt for tasks to delegate.
+	// lastHandOverAt and lastDelegationAt are when workflows to hand over and tasks to delegate were last looked for.
 	lastHandOverAt   cottonlanding.Millis
 	lastDelegationAt cottonlanding.Millis
 
@@ -112,21 +111,22 @@
 	startValidator *startValidator
 	meter          *meter
 	stalled        atomic.Bool
-	// overloaded says that the last decision took longer than behindAfter.
+	// overloaded says that the last decision took longer than overloadThreshold.
 	overloaded atomic.Bool
-	// lastReport is what was left of the cell after the last decision.
+	// lastReport is the capacity report after the last decision.
 	lastReport atomic.Pointer[lastReport]
-	// requestsDelegation says that other cells are asked about tasks that they run, guestsDue has that done soon.
+	// requestsDelegation says that sendDelegationRequests runs, which delegationRequestsDue wakes before its next
+	// interval.
 	requestsDelegation    bool
 	delegationRequestsDue waker.Waker
 	// decisionsDue and ordersDue wake the two loops before their next tick.
 	decisionsDue waker.Waker
 	ordersDue    waker.Waker
-	// pollSlots holds a place for each look that asks for an answer at once.
+	// pollSlots holds a slot for each poll under way that asks for an answer at once.
 	pollSlots chan struct{}
-	// lastImmediatePollTook is how long the last of those that was answered took, in milliseconds.
+	// lastImmediatePollTook is the duration of the last of these polls that was answered, in milliseconds.
 	lastImmediatePollTook atomic.Int64
-	// stopping ends the decisions, ended tells that they have ended.
+	// stopping is closed to end the decisions, decisionsEnded when they have ended.
 	stopping       chan struct{}
 	decisionsEnded chan struct{}
 	stopOnce       sync.Once
@@ -136,7 +136,7 @@
 	work           sync.WaitGroup
 }
 
-// lastReport is what was left of a cell at an instant.
+// lastReport is the capacity report of a cell at an instant.
 type lastReport struct {
 	report planner.Report
 	usable bool
@@ -174,7 +174,7 @@
 	return d
 }
 
-// Release ends the driver after what was decided is committed, or when ctx ends.
+// Release ends the driver once all decisions are committed, or when ctx ends.
 func (d *Driver) Release(ctx context.Context) {
 	d.stopOnce.Do(func() { close(d.stopping) })
 	select {
@@ -192,8 +192,8 @@
 	d.end(ctx)
 }
 
-// end may be called more than once, also at the same time: a driver that is being
-// released can lose its ownership meanwhile.
+// end may be called more than once, also concurrently: a driver that is being released can lose its ownership
+// meanwhile.
 func (d *Driver) end(ctx context.Context) {
 	d.endOnce.Do(func() { d.endNow(ctx) })
 }
@@ -210,7 +210,7 @@
 	}
 }
 
-// flush commits what is still to be committed.
+// flush commits all changes that are not committed yet.
 func (d *Driver) flush(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.mu.Lock()
@@ -264,9 +264,9 @@
 	}
 }
 
-// pauseAfter returns how long to wait after a turn. Decisions take at most half of
-// the time, however long they are: looks, orders and calls share the processor, and
-// the lock, with them. The time of the commit is theirs already.
+// pauseAfter returns how long to wait after a turn. Decisions take at most half of the time, however long they are,
+// because polls, orders and calls share the processor and the lock with them. These already have the time of the
+// commit.
 func pauseAfter(took turnTimes) cottonlanding.Millis {
 	deciding, turn := took.decided-took.began, took.ended-took.began
 	return max(0, coalescingInterval-turn, 2*deciding-turn)
@@ -277,7 +277,7 @@
 	took := turnTimes{began: d.deps.Clock.Now()}
 	if took.began >= d.deps.ValidUntil() {
 		took.decided, took.ended = took.began, took.began
-		return took, true // nothing may be decided until the holder is sure again
+		return took, true // nothing may be decided until the ownership is confirmed again
 	}
 	now := took.began
 	d.mu.Lock()
@@ -317,7 +317,7 @@
 	d.deps.OnLost()
 }
 
-// commit commits a plan; it returns once that is certain, or never can be.
+// commit commits a plan. It returns once the plan is committed or can't be any more, or when the driver ends.
 func (d *Driver) commit(plan *planner.Plan) error {
 	type outcome struct {
 		receipt cottonlanding.Receipt
--- a/internal/workflow/driver/driver_test.go
+++ b/internal/workflow/driver/driver_test.go
@@ -14,7 +14,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// slowStarts answers starts of workflow "slow" only after a while.
+// slowStarts delays the starts of workflow "slow".
 type slowStarts struct {
 	cottonlanding.RunClient
 	delay   time.Duration
@@ -35,7 +35,7 @@
 	}
 }
 
-// blockingTable can hold its commits back.
+// blockingTable can block its commits.
 type blockingTable struct {
 	cottonlanding.Table
 	mu        sync.Mutex
@@ -62,9 +62,9 @@
 	h.unblocked = unblocked
 }
 
-// TestOwnerUnderLoad: what must reach a worker in time must not wait for what can.
+// TestOwnerUnderLoad guards against urgent orders that wait for less urgent work of the owner.
 func TestOwnerUnderLoad(t *testing.T) {
-	t.Run("a stop does not wait for other orders to its worker", func(t *testing.T) {
+	t.Run("stop overtakes starts", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			starts := &slowStarts{delay: 900 * time.Millisecond}
 			o := newOwner(t, setup{workers: 1, tasksPerWorker: 32, policy: spreadPlacement(), client: func(client cottonlanding.RunClient) cottonlanding.RunClient {
@@ -82,7 +82,7 @@
 			require.Less(t, time.Since(cancelled), 300*time.Millisecond)
 		})
 	})
-	t.Run("a stop does not wait for a later commit", func(t *testing.T) {
+	t.Run("stop overtakes later commit", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			table := &blockingTable{}
 			var refuse atomic.Bool
@@ -101,14 +101,14 @@
 			o.cancel("lasting")
 			unblocked := make(chan struct{})
 			table.blockUntil(unblocked)
-			go o.submitOnce("next", cottonlanding.Step{Tasks: 1}) // its commit is held back
+			go o.submitOnce("next", cottonlanding.Step{Tasks: 1}) // its commit blocks
 			cancelled := time.Now()
 			o.eventually("the stop arrives", func() bool { return o.runner.Lasting() == 0 })
 			require.Less(t, time.Since(cancelled), 600*time.Millisecond)
 			close(unblocked)
 		})
 	})
-	t.Run("decisions leave time for the rest", func(t *testing.T) {
+	t.Run("decisions take limited time", func(t *testing.T) {
 		policy := &costlyPlacement{PlacementPolicy: spreadPlacement(), cost: time.Millisecond}
 		o := newOwner(t, setup{workers: 40, tasksPerWorker: 100, policy: policy})
 		defer o.driver.Close()
@@ -125,8 +125,7 @@
 	})
 }
 
-// unansweredStart gives the first start no answer, as a connection does that went
-// silent, and counts the others.
+// unansweredStart gives the first start no answer, like a broken connection, and counts all starts.
 type unansweredStart struct {
 	cottonlanding.RunClient
 	sent atomic.Int64
@@ -140,8 +139,8 @@
 	return s.RunClient.Start(ctx, worker, start)
 }
 
-// TestStopCancelsQueuedStart: a start that waits behind an order without an
-// answer must not be sent once its run is to be stopped.
+// TestStopCancelsQueuedStart guards against a start that is sent although its run is to be stopped, because it waited
+// behind an order without an answer.
 func TestStopCancelsQueuedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		starts := &unansweredStart{}
@@ -158,8 +157,8 @@
 	})
 }
 
-// slowPolls takes the processor of the owner for a while for each look that holds
-// nothing back, one after the other, as on a small host.
+// slowPolls takes the owner's processor for a while for each poll without a wait, one after the other, as on a small
+// host.
 type slowPolls struct {
 	cottonlanding.RunClient
 	cost      time.Duration
@@ -182,16 +181,15 @@
 	time.Sleep(s.cost)
 	<-s.processor
 	if ctx.Err() != nil {
-		s.failed.Add(1) // the answer came, but nobody had time to read it
+		s.failed.Add(1) // the answer came, but was not read in time
 		return cottonlanding.RunReport{}, cottonlanding.ErrAmbiguous
 	}
 	s.answered.Store(worker.Life.Worker, true)
 	return s.RunClient.Poll(ctx, worker, poll)
 }
 
-// TestNewOwnerLimitsConcurrentPolls: looks that are all sent at once by an owner too
-// slow to read the answers in time come to nothing, and are sent again. Workers that
-// are silent must not hold up the others.
+// TestNewOwnerLimitsConcurrentPolls guards against an owner that polls all workers at once and is too slow to read the
+// answers in time, so that it has to repeat all polls. Unresponsive workers must not delay the others.
 func TestNewOwnerLimitsConcurrentPolls(t *testing.T) {
 	pollAll := func(t *testing.T, workers int, cost time.Duration, unresponsive int) (*slowPolls, time.Duration) {
 		answers := &slowPolls{cost: cost, processor: make(chan struct{}, 1), unresponsive: func(id cottonlanding.WorkerID) bool {
@@ -206,7 +204,7 @@
 		}})
 		defer o.driver.Close()
 		began := time.Now()
-		o.eventually("all workers that aren't silent have answered", func() bool {
+		o.eventually("all responsive workers have answered", func() bool {
 			count := 0
 			answers.answered.Range(func(any, any) bool { count++; return true })
 			return count == workers-unresponsive
@@ -216,10 +214,10 @@
 	t.Run("slow owner", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			answers, _ := pollAll(t, 350, 10*time.Millisecond, 0)
-			require.Zero(t, answers.failed.Load(), "looks whose answers came too late")
+			require.Zero(t, answers.failed.Load(), "polls whose answers came too late")
 		})
 	})
-	t.Run("silent workers", func(t *testing.T) {
+	t.Run("unresponsive workers", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			_, took := pollAll(t, 350, 100*time.Microsecond, 350/3)
 			require.Less(t, took, time.Second)
@@ -227,7 +225,7 @@
 	})
 }
 
-// firstStopFails refuses one stop once it is told to.
+// firstStopFails refuses one stop once fails is set.
 type firstStopFails struct {
 	cottonlanding.RunClient
 	fails *atomic.Bool
@@ -240,7 +238,7 @@
 	return f.RunClient.Stop(ctx, worker, run, epoch)
 }
 
-// costlyPlacement is a policy that takes a while for each task, as on a slow processor.
+// costlyPlacement takes a while for each task, as on a slow processor.
 type costlyPlacement struct {
 	cottonlanding.PlacementPolicy
 	cost  time.Duration
--- a/internal/workflow/driver/evacuate_test.go
+++ b/internal/workflow/driver/evacuate_test.go
@@ -10,11 +10,11 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/driver"
 )
 
-// evacuationDeadline is the promise: how long after an evacuation is acknowledged a host in
-// touch may still start something there.
+// evacuationDeadline is how long after an evacuation is acknowledged a connected host may still start something in the
+// data centre.
 const evacuationDeadline = 5 * time.Second
 
-// readingTime returns as of when something is known: as of now, or as of an instant once that is
+// readingTime returns the instant as of which data is known: the present one, or stopped once that is
 // set, when the readings have stopped.
 func readingTime(clock cottonlanding.Clock, stopped *atomic.Int64) cottonlanding.Millis {
 	if at := stopped.Load(); at > 0 {
@@ -23,11 +23,11 @@
 	return clock.Now() + 1
 }
 
-// readingsStopAt is when readings stop, while the first start is under way.
+// readingsStopAt is when readings stop, in milliseconds: while the first start is under way.
 const readingsStopAt = 500
 
-// TestEvacuationCancelsQueuedStarts: a start that waits behind others isn't sent once
-// its data centre is known to be evacuated.
+// TestEvacuationCancelsQueuedStarts guards against starts that wait behind others and are sent although their data
+// centre has been evacuated meanwhile.
 func TestEvacuationCancelsQueuedStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var evacuated atomic.Bool
@@ -41,15 +41,15 @@
 			}
 		})
 		evacuated.Store(true)
-		starts.requireNoneAfter(t, 0, "starts after that was known")
+		starts.requireNoneAfter(t, 0, "starts after the evacuation was known")
 		evacuated.Store(false)
-		starts.requireSomeSoon(t, "starts within a second of its being taken back")
+		starts.requireSomeSoon(t, "starts within a second after the evacuation was withdrawn")
 	})
 }
 
-// TestStaleEvacuationsBlockStarts: an owner whose readings of the operators' table stop doesn't know
-// what is evacuated. Nothing starts later than the promise allows after the last reading, and
-// all goes on with the next one.
+// TestStaleEvacuationsBlockStarts guards against starts by an owner that can't read the operators' table and doesn't
+// know what is evacuated. Nothing starts later than evacuationDeadline after the last reading, and starts go on with
+// the next one.
 func TestStaleEvacuationsBlockStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Int64
@@ -59,14 +59,14 @@
 			}
 		})
 		stopped.Store(readingsStopAt)
-		starts.requireNoneAfter(t, evacuationDeadline-time.Second, "starts on an old reading") // one that is sent may take a second
+		starts.requireNoneAfter(t, evacuationDeadline-time.Second, "starts with stale evacuations") // a start that is sent may take a second
 		stopped.Store(0)
-		starts.requireSomeSoon(t, "starts with newer readings")
+		starts.requireSomeSoon(t, "starts after a new reading")
 	})
 }
 
-// TestStaleWorkerListBlocksStarts: with a list of workers that is behind, the owner doesn't know who
-// leaves. Nothing starts later than drainWithin after the last complete one.
+// TestStaleWorkerListBlocksStarts guards against starts by an owner whose list of workers is stale, so that it doesn't
+// know which of them leave. Nothing starts later than leavingDeadline after the last complete list.
 func TestStaleWorkerListBlocksStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Int64
@@ -74,8 +74,8 @@
 			deps.ListedAt = func() cottonlanding.Millis { return readingTime(deps.Clock, &stopped) }
 		})
 		stopped.Store(readingsStopAt)
-		starts.requireNoneAfter(t, leavingDeadline, "starts on an old list")
+		starts.requireNoneAfter(t, leavingDeadline, "starts with a stale list of workers")
 		stopped.Store(0)
-		starts.requireSomeSoon(t, "starts with newer lists")
+		starts.requireSomeSoon(t, "starts after a new list")
 	})
 }
--- a/internal/workflow/driver/export_test.go
+++ b/internal/workflow/driver/export_test.go
@@ -1,10 +1,10 @@
 package driver
 
-// Fence is the value of the row that every transaction checks, for tests of the format.
+// Fence is the value of the fence row, for tests of the format.
 type Fence = fence
 
-// FenceRow names that row.
+// FenceRow names the fence row.
 const FenceRow = fenceRow
 
-// EncodeFence is encodeFence for tests of the format.
+// EncodeFence is encodeFence, for tests of the format.
 var EncodeFence = encodeFence
--- a/internal/workflow/driver/golden_test.go
+++ b/internal/workflow/driver/golden_test.go
@@ -13,14 +13,16 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/driver"
 )
 
-// TestGoldenFence guards against owners of two versions that don't see each other's fence.
+// TestGoldenFence guards against a changed format of the fence row: owners of two versions would ignore each other's
+// fence.
 func TestGoldenFence(t *testing.T) {
 	encode := func(value any) []byte { return driver.EncodeFence(value.(driver.Fence)) }
 	comparer.JSON(t, encode, map[string]any{"Fence": driver.Fence{}})
 	comparer.RequireList(t, "Keys", driver.FenceRow)
 }
 
-// TestGoldenLane guards against owners whose lanes stand where others don't look for them.
+// TestGoldenLane guards against a changed prefix of the lane rows: owners of two versions would not find each other's
+// lanes.
 func TestGoldenLane(t *testing.T) {
 	table := keeper.New()
 	o := newOwner(t, setup{workers: 1, tasksPerWorker: 1, policy: spreadPlacement(), table: func(cottonlanding.Table) cottonlanding.Table { return table }})
--- a/internal/workflow/driver/handover.go
+++ b/internal/workflow/driver/handover.go
@@ -11,20 +11,19 @@
 )
 
 const (
-	// handOverInterval is how often it is looked for workflows to hand over: as often as other
-	// cells tell of their room.
+	// handOverInterval is how often workflows to hand over are looked for: as often as other cells report their free
+	// capacity.
 	handOverInterval = 300 * cottonlanding.Millis(1)
-	// maxHandOversAtOnce bounds what is handed over at a time, so that the others' next reports
-	// show it before more follows.
+	// maxHandOversAtOnce bounds the workflows handed over at a time, so that the next reports of the other cells show
+	// them before more follow.
 	maxHandOversAtOnce = 12
-	// deliveryInterval is how often it is looked for what to tell other cells.
+	// deliveryInterval is how often workflows to deliver to other cells are looked for.
 	deliveryInterval = 100 * cottonlanding.Millis(1)
-	// maxConcurrentDeliveries bounds the calls of one cell under way.
+	// maxConcurrentDeliveries bounds the concurrent calls to one cell.
 	maxConcurrentDeliveries = 8
 )
 
-// handOver looks for workflows of this home that wait while another cell has room. The
-// caller holds the lock.
+// handOver hands over workflows of this home cell that wait while another cell has room. The caller holds the lock.
 func (d *Driver) handOver(now cottonlanding.Millis) {
 	if now-d.lastHandOverAt < handOverInterval {
 		return
@@ -43,10 +42,10 @@
 	}
 }
 
-// maxHandOverCandidates bounds the workflows that are weighed at a time.
+// maxHandOverCandidates bounds the workflows that are considered at a time.
 const maxHandOverCandidates = 100
 
-// deliverAll tells other cells of what was handed over to them, until they have it.
+// deliverAll delivers the workflows that were handed over to other cells, until these have accepted them.
 func (d *Driver) deliverAll() {
 	due := waker.New()
 	serializer := newCellSerializer(&d.work, due)
@@ -64,7 +63,7 @@
 	})
 }
 
-// deliver tells one cell, some workflows at a time.
+// deliver delivers up to maxConcurrentDeliveries workflows to one cell.
 func (d *Driver) deliver(to cottonlanding.CellNumber, workflows []cottonlanding.Workflow) {
 	var calls sync.WaitGroup
 	for _, workflow := range workflows[:min(len(workflows), maxConcurrentDeliveries)] {
@@ -79,11 +78,11 @@
 	err := d.deps.Deliver(ctx, workflow, to)
 	var referred *ReferredError
 	if err != nil && !errors.As(err, &referred) {
-		d.deps.Log.Warn("handed over workflow isn't taken yet", "Workflow", workflow.ID, "To", to, "Error", err)
+		d.deps.Log.Warn("handed over workflow is not accepted yet", "Workflow", workflow.ID, "To", to, "Error", err)
 		return
 	}
 	if err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) { cell.HandOverAccepted(workflow.ID, now) }); err != nil {
-		return // the next owner tells it again
+		return // the next owner delivers it again
 	}
 	d.decisionsDue.Wake()
 }
--- a/internal/workflow/driver/load.go
+++ b/internal/workflow/driver/load.go
@@ -10,7 +10,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// load reads the rows of the predecessor until that succeeds.
+// load reads the rows of the previous owner, and retries until that succeeds.
 func (d *Driver) load() *planner.Cell {
 	pageSize := initialPageSize
 	for d.ctx.Err() == nil {
@@ -56,26 +56,26 @@
 	}
 	for _, row := range rows.learnt {
 		if err := cell.LoadLearnt(row); err != nil {
-			d.deps.Log.Warn("what was learnt of images is lost", "Error", err) // it is learnt anew
+			d.deps.Log.Warn("learnt image weights could not be loaded", "Error", err) // they are learnt again
 		}
 	}
 	d.readTableClock(cell)
 	for _, row := range rows.bounds {
 		if err := cell.LoadLeaseBounds(row, now); err != nil {
-			d.deps.Log.Warn("lease bounds are lost", "Error", err)
+			d.deps.Log.Warn("lease bounds could not be loaded", "Error", err)
 		}
 	}
 	d.deps.Log.Info("workflows loaded", "Workflows", len(rows.specs), "Workers", len(workers), "Epoch", d.setup.Epoch, "After", now-began)
 	return cell, nil
 }
 
-// cellRows are the rows of a cell by kind.
+// cellRows holds the rows of a cell by kind.
 type cellRows struct {
 	specs, states, delegated, referrals, learnt, bounds []cottonlanding.Row
 }
 
-// readCell reads all rows of the cell. The kinds are read side by side: nothing of the cell changes any more, and a
-// slow table takes long for each call.
+// readCell reads all rows of the cell. The kinds are read concurrently: the rows don't change any more, and a slow
+// table takes long for each call.
 func (d *Driver) readCell(pageSize int) (cellRows, error) {
 	var rows cellRows
 	partition := d.setup.Partition
@@ -108,7 +108,7 @@
 	return d.deps.Table.Read(ctx, key)
 }
 
-// scan reads all rows of a prefix, some at a time.
+// scan reads all rows of a prefix, page by page.
 func (d *Driver) scan(prefix cottonlanding.Key, pageSize int) ([]cottonlanding.Row, error) {
 	var out []cottonlanding.Row
 	after := cottonlanding.Key("")
@@ -127,7 +127,7 @@
 	}
 }
 
-// readTableClock tells a cell what the table's clock shows.
+// readTableClock passes the newest reading of the table's clock to a cell.
 func (d *Driver) readTableClock(cell *planner.Cell) {
 	if d.deps.TableClock == nil {
 		return
--- a/internal/workflow/driver/meter.go
+++ b/internal/workflow/driver/meter.go
@@ -7,30 +7,29 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// statsLogInterval is how often the progress of an owner is logged: often enough to tell
-// an owner that falls behind from workers that don't answer.
+// statsLogInterval is how often the statistics of an owner are logged: often enough to distinguish an owner that lags
+// behind from workers that don't answer.
 const statsLogInterval = 2 * cottonlanding.Second
 
-// Stats is how quickly an owner got on since it was last asked.
+// Stats holds the statistics of an owner over one log interval.
 type Stats struct {
 	Turns int
-	// Decide, Commit and Turn are the longest of each.
+	// Decide, Commit and Turn are the longest duration of each.
 	Decide cottonlanding.Millis
 	Commit cottonlanding.Millis
 	Turn   cottonlanding.Millis
-	// Pause is the longest time between two turns: above the tick, the process got
-	// too little of its processor.
+	// Pause is the longest time between two turns; above the tick, the process got too little processor time.
 	Pause cottonlanding.Millis
-	// Orders counts the orders sent, OrderWait is the longest time that one waited
-	// for those before it, OrderCall the longest call.
+	// Orders counts the orders sent, OrderWait is the longest time that one waited for those before it, OrderCall the
+	// longest call.
 	Orders    int
 	OrderWait cottonlanding.Millis
 	OrderCall cottonlanding.Millis
-	// Streams is the most queues of orders that were under way at once.
+	// Streams is the maximum number of streams with orders under way.
 	Streams int
 }
 
-// Merge returns the longest of each span, and the sums of what is counted.
+// Merge returns the maximum of each duration and of Streams, and the sums of the counters.
 func (p Stats) Merge(other Stats) Stats {
 	return Stats{
 		Turns:     p.Turns + other.Turns,
@@ -45,7 +44,7 @@
 	}
 }
 
-// meter measures the progress of one driver.
+// meter collects the statistics of one driver.
 type meter struct {
 	log *slog.Logger
 
@@ -58,12 +57,12 @@
 
 func newMeter(log *slog.Logger) *meter { return &meter{log: log} }
 
-// turnTimes are the instants of one turn.
+// turnTimes holds the instants of one turn.
 type turnTimes struct {
 	began, decided, ended cottonlanding.Millis
 }
 
-// recordTurn takes in a turn, and logs the progress from time to time.
+// recordTurn records a turn, and logs the statistics once per interval.
 func (m *meter) recordTurn(t turnTimes) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -85,14 +84,14 @@
 		"LongestOrder", p.OrderCall, "MostStreams", p.Streams)
 }
 
-// recordStreams takes in how many streams have orders under way.
+// recordStreams records how many streams have orders under way.
 func (m *meter) recordStreams(streams int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.current.Streams = max(m.current.Streams, streams)
 }
 
-// recordOrder takes in an order that was given out, sent and answered.
+// recordOrder records when an order was given out, sent and answered.
 func (m *meter) recordOrder(given, sent, answered cottonlanding.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,7 +100,7 @@
 	m.current.OrderCall = max(m.current.OrderCall, answered-sent)
 }
 
-// stats returns what was logged last.
+// stats returns the statistics that were logged last.
 func (m *meter) stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/workflow/driver/orders_test.go
+++ b/internal/workflow/driver/orders_test.go
@@ -22,24 +22,21 @@
 )
 
 const (
-	// placementCost is how long one placement of bulk work takes in these tests. One
-	// pass places one such workflow and takes a second, as that of an owner whose
-	// processor falls behind.
+	// placementCost is how long one placement of bulk work takes. Each decision places one bulk workflow and takes a
+	// second, like that of an owner whose processor is overloaded.
 	placementCost = 2 * time.Millisecond
 	bulkTasks     = 500
 	bulkWorkflows = 6
 	stoppedTasks  = 6
 	// stopAnswerDelay is how long a worker takes to answer a stop.
 	stopAnswerDelay = 5 * time.Millisecond
-	// startAnswersWithin is how long it takes, on a busy machine, until the cell knows of
-	// the starts that the workers have taken.
+	// startAnswersWithin is the time until the cell knows, on a busy machine, which starts the workers have accepted.
 	startAnswersWithin = 300 * time.Millisecond
-	// stopsWithin is how long the stops for one worker may take that answers soon:
-	// a third of a pass.
+	// stopsWithin bounds the time of the stops for one worker that answers soon: a third of a decision.
 	stopsWithin = 300 * time.Millisecond
 )
 
-// slowPlacement takes a while for each task of bulk work.
+// slowPlacement takes placementCost for each task of bulk work.
 type slowPlacement struct {
 	cottonlanding.PlacementPolicy
 	placed atomic.Int64
@@ -53,7 +50,7 @@
 	return s.PlacementPolicy.Place(task, candidates)
 }
 
-// stopTimes notes when stops arrive, and answers each after answerTime.
+// stopTimes records when stops arrive, and answers each after stopAnswerDelay.
 type stopTimes struct {
 	cottonlanding.RunClient
 	mu    sync.Mutex
@@ -74,8 +71,8 @@
 	return append([]time.Time(nil), s.times...)
 }
 
-// TestOrdersProceedDuringDecisions: the orders to a worker that answers soon follow
-// each other at once, however long the owner takes to decide meanwhile.
+// TestOrdersProceedDuringDecisions guards against orders that wait for decisions: those to a worker that answers soon
+// follow each other at once, however long the owner takes to decide meanwhile.
 func TestOrdersProceedDuringDecisions(t *testing.T) {
 	clock := cottonlanding.NewClock()
 	fakeWorkers := runner.New(clock, func(key cottonlanding.RunKey) runner.Fate { return runner.Fate{Forever: true} })
@@ -113,7 +110,7 @@
 	require.Less(t, times[stoppedTasks-1].Sub(times[0]), stopsWithin, "from the first to the last stop for one worker")
 }
 
-// addLabelledWorker adds a worker with a label that takes a number of tasks of one core.
+// addLabelledWorker adds a worker with a label and room for a number of tasks of one core.
 func addLabelledWorker(fakeWorkers *runner.Runner, number int, label cottonlanding.Label, room int) cottonlanding.WorkerInfo {
 	id := cottonlanding.WorkerID(fmt.Sprintf("w%d", number))
 	fakeWorkers.Add(id, 5000)
--- a/internal/workflow/driver/outbox.go
+++ b/internal/workflow/driver/outbox.go
@@ -8,9 +8,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// streamKey is a queue of orders to one worker, each sent once the one before it was
-// answered. Stops have a streamKey of their own: a start or a change of pace may take
-// as long as a call may, and a stop must not wait for that.
+// streamKey names a stream of orders to one worker, each sent once the one before it was answered. Stops have a stream
+// of their own: a start or a change of pace may take as long as callTimeout, and a stop must not wait for that.
 type streamKey struct {
 	worker cottonlanding.WorkerID
 	stops  bool
@@ -20,7 +19,7 @@
 	return streamKey{worker: order.Worker.Life.Worker, stops: order.Verb == planner.VerbStop}
 }
 
-// orderResult is an order with what became of it, and when.
+// orderResult is the outcome of an order, with the time of the answer.
 type orderResult struct {
 	order   planner.Order
 	reading cottonlanding.Reading
@@ -28,11 +27,10 @@
 	at      cottonlanding.Millis
 }
 
-// outbox holds the orders on their way and their answers. Its lock is held for
-// moments only: orders follow each other also while the owner decides, which holds
-// the cell's lock.
+// outbox holds the orders under way and their results. Its lock is only held briefly, so that orders follow each other
+// while a decision holds the cell's lock.
 type outbox struct {
-	// resultsDue tells that there are answers.
+	// resultsDue is woken when there are results.
 	resultsDue waker.Waker
 
 	mu      sync.Mutex
@@ -44,7 +42,7 @@
 	return &outbox{resultsDue: waker.New(), streams: make(map[streamKey][]planner.Order)}
 }
 
-// add queues an order, and reports whether nobody sends the orders of its stream yet.
+// add queues an order, and reports whether its stream has no sender yet.
 func (o *outbox) add(order planner.Order) (streamKey, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -54,7 +52,7 @@
 	return at, !running
 }
 
-// next takes the next order of a stream; false means that the stream has ended.
+// next removes and returns the next order of a stream; false means that the stream has ended.
 func (o *outbox) next(at streamKey) (planner.Order, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,7 +65,7 @@
 	return queued[0], true
 }
 
-// recordResult keeps what became of an order until the cell is told.
+// recordResult keeps the result of an order until it is applied to the cell.
 func (o *outbox) recordResult(a orderResult) {
 	o.mu.Lock()
 	o.results = append(o.results, a)
@@ -75,7 +73,7 @@
 	o.resultsDue.Wake()
 }
 
-// takeResults takes the takeResults that came.
+// takeResults removes and returns all results.
 func (o *outbox) takeResults() []orderResult {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/workflow/driver/overload_test.go
+++ b/internal/workflow/driver/overload_test.go
@@ -12,20 +12,20 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// overloadTolerance is how much longer than by its decisions an owner may be behind: some turns.
+// overloadTolerance is how much longer than its decisions take an owner may be overloaded: several turns.
 const overloadTolerance = 500 * cottonlanding.Millis(1)
 
-// clockCostPolicy is a policy that takes the owner's clock a while further for each task that it
-// places, as on a slow processor. It doesn't sleep: how busy the machine is that runs the test
-// makes no difference, and virtual time may go on while others wait for the owner's lock.
+// clockCostPolicy is a policy that advances the owner's clock for each task that it places, as on a slow processor. It
+// doesn't sleep, so that the load of the test machine makes no difference and virtual time can advance while others
+// wait for the owner's lock.
 type clockCostPolicy struct {
 	cottonlanding.PlacementPolicy
 	cost cottonlanding.Millis
-	// spent is how long it took so far, in milliseconds.
+	// spent is the sum of all costs, in milliseconds.
 	spent atomic.Int64
 	// rejectAll says that no worker suits any task.
 	rejectAll atomic.Bool
-	// reached is called in the middle of a decision, once spent is as long as threshold.
+	// onThreshold is called during a decision, once spent has reached threshold.
 	threshold   cottonlanding.Millis
 	onThreshold func()
 }
@@ -41,16 +41,16 @@
 	return c.PlacementPolicy.Place(task, candidates)
 }
 
-// wrapClock returns a clock that counts what was spent as well.
+// wrapClock returns a clock that is advanced by spent.
 func (c *clockCostPolicy) wrapClock(clock cottonlanding.Clock) cottonlanding.Clock {
 	return cottonlanding.ClockOf(func() cottonlanding.Millis {
 		return clock.Now() + cottonlanding.Millis(c.spent.Load())
 	})
 }
 
-// TestOverloadedOwnerRejectsAtOnce: what would only be answered after its client has
-// given up is refused at once, but for what may have been accepted already. Once it has decided
-// on what it knows, the owner takes new work.
+// TestOverloadedOwnerRejectsAtOnce guards against an overloaded owner that answers requests only after their clients
+// have given up. It rejects new workflows at once, except those that may have been accepted already, and accepts new
+// ones again once it has caught up.
 func TestOverloadedOwnerRejectsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		policy := &clockCostPolicy{PlacementPolicy: spreadPlacement(), cost: 1, threshold: cottonlanding.Second}
@@ -73,10 +73,10 @@
 		}
 		acceptedAt := o.clock.Now()
 		policy.rejectAll.Store(false)
-		require.ErrorIs(t, <-concurrent, cottonlanding.ErrUnavailable, "it comes while the owner decides")
+		require.ErrorIs(t, <-concurrent, cottonlanding.ErrUnavailable, "submitted during a decision")
 		offered := time.Now()
-		require.ErrorIs(t, o.submitOnce("late", cottonlanding.Step{Tasks: 1}), cottonlanding.ErrUnavailable, "it comes between two decisions")
-		require.Zero(t, time.Since(offered), "it is refused at once")
+		require.ErrorIs(t, o.submitOnce("late", cottonlanding.Step{Tasks: 1}), cottonlanding.ErrUnavailable, "submitted between two decisions")
+		require.Zero(t, time.Since(offered), "it is rejected at once")
 		require.NoError(t, o.submitOnce("w0", cottonlanding.Step{Tasks: tasks}), "it was accepted before")
 		o.cancel("w0")
 		o.eventually("the owner has caught up", func() bool {
--- a/internal/workflow/driver/owner_test.go
+++ b/internal/workflow/driver/owner_test.go
@@ -21,11 +21,11 @@
 
 const (
 	partition = cottonlanding.Partition("Test")
-	// testTimeout is how long a test waits for what should come at once.
+	// testTimeout is how long a test waits for what should happen at once.
 	testTimeout = 10 * time.Second
 )
 
-// owner is one driver with a table and workers of its own.
+// owner is a driver with a table and workers of its own.
 type owner struct {
 	t      *testing.T
 	clock  cottonlanding.Clock
@@ -33,25 +33,25 @@
 	driver *driver.Driver
 }
 
-// setup says what a test needs otherwise than usual.
+// setup holds the settings in which an owner differs from the default.
 type setup struct {
 	workers int
-	// tasksPerWorker is how many tasks of one core each worker takes.
+	// tasksPerWorker is how many tasks of one core each worker has room for.
 	tasksPerWorker int
 	policy         cottonlanding.PlacementPolicy
-	// client wraps the workers, table the table.
+	// client wraps the client of the workers, table the table.
 	client func(cottonlanding.RunClient) cottonlanding.RunClient
 	table  func(cottonlanding.Table) cottonlanding.Table
 	// clock wraps the clock of the owner and its workers.
 	clock func(cottonlanding.Clock) cottonlanding.Clock
-	// dataCentres is how many data centres the workers are dealt over; without it they name none.
+	// dataCentres is how many data centres the workers are spread over; with zero they name none.
 	dataCentres int
-	// perWorkerSilence has each worker found silent by itself, spreadTasks tasks of a workflow placed
-	// wherever there is room.
+	// perWorkerSilence has each worker found silent by itself, spreadTasks has the tasks of a workflow placed wherever
+	// there is room.
 	perWorkerSilence, spreadTasks bool
-	// siblings are the partitions of other cells.
+	// siblings are the partitions of the other cells.
 	siblings []cottonlanding.Partition
-	// modify may replace what the owner works with.
+	// modify may replace dependencies of the driver.
 	modify func(*driver.Dependencies)
 }
 
@@ -114,13 +114,13 @@
 	return o
 }
 
-// submit hands in a workflow of one step, once the owner has loaded its rows.
+// submit submits a workflow of one step, and retries until the owner has loaded its rows.
 func (o *owner) submit(id cottonlanding.WorkflowID, step cottonlanding.Step) {
 	o.t.Helper()
 	o.eventually("the workflow is accepted", func() bool { return o.submitOnce(id, step) == nil })
 }
 
-// submitOnce hands in a workflow of one step once.
+// submitOnce submits a workflow of one step once.
 func (o *owner) submitOnce(id cottonlanding.WorkflowID, step cottonlanding.Step) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -135,7 +135,7 @@
 	require.NoError(o.t, o.driver.Cancel(ctx, id))
 }
 
-// eventually waits on the clock of the test, real or virtual.
+// eventually waits for a condition on the clock of the test, real or virtual.
 func (o *owner) eventually(what string, holds func() bool) {
 	o.t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// policyWithPlacement returns the usual policies with one that places all kinds of tasks.
+// policyWithPlacement returns the default policies with one placement policy for all kinds of tasks.
 func policyWithPlacement(placement cottonlanding.PlacementPolicy) planner.Policy {
 	policy := selector.Default().Planner
 	policy.ShortPlacement, policy.LastingPlacement, policy.FillingPlacement = placement, placement, placement
@@ -155,12 +155,12 @@
 	return policy
 }
 
-// longPollWorkers hold the answer to a look back until a run has ended, as real ones do.
+// longPollWorkers hold back the answer to a poll until a run has ended, like real workers.
 type longPollWorkers struct {
 	*runner.Runner
 }
 
-// longPollInterval is how often they look for an end meanwhile.
+// longPollInterval is how often they check for an end meanwhile.
 const longPollInterval = 20 * time.Millisecond
 
 func (p *longPollWorkers) Poll(ctx context.Context, worker cottonlanding.WorkerRef, poll cottonlanding.Poll) (cottonlanding.RunReport, error) {
@@ -178,12 +178,12 @@
 	}
 }
 
-// noReferral keeps all workflows where they are handed in.
-// noEvacuations says that none is ordered, as of now.
+// noEvacuations reports that no evacuation is in force, as of now.
 func noEvacuations(clock cottonlanding.Clock) func() cottonlanding.Evacuations {
 	return func() cottonlanding.Evacuations { return cottonlanding.Evacuations{ReadAt: clock.Now()} }
 }
 
+// noReferral keeps all workflows in the cell to which they are submitted.
 func noReferral(cottonlanding.Workflow, planner.Report, bool) (cottonlanding.CellNumber, bool) {
 	return 0, false
 }
--- a/internal/workflow/driver/poller.go
+++ b/internal/workflow/driver/poller.go
@@ -9,18 +9,18 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// minPollInterval is the least time between two looks at a worker that may hold back its answers, unless it has
-// told of an end. One that answers such looks at once would be asked thousands of times a second,
-// and the looks of a few of them leave a small host no time for its callers.
+// minPollInterval is the minimum time between two polls of a worker that may hold back its answers, unless an answer
+// lists ends. Without it a worker that answers such polls at once is polled thousands of times a second, and a few of
+// these workers leave a small host no time for its callers.
 const minPollInterval = 50 * cottonlanding.Millis(1)
 
-// pollWorker looks at one worker again and again until the worker is gone.
+// pollWorker polls one worker until the worker is gone.
 func (d *Driver) pollWorker(id cottonlanding.WorkerID, woken waker.Waker) {
 	defer func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		delete(d.pollers, id)
-		d.lastWorkerList = nil // a worker that is listed again gets another attendant
+		d.lastWorkerList = nil // a worker that is listed again gets a new poller
 	}()
 	for d.ctx.Err() == nil {
 		next, found := d.nextPoll(id)
@@ -41,10 +41,9 @@
 	}
 }
 
-// pollImmediately looks at a worker once few enough others are being looked at whose
-// answers come at once. A new owner asks all workers first: if it asked them together,
-// one that is short of processor time would find all answers too late. A worker that
-// gives no answer doesn't hold up the others for long.
+// pollImmediately sends a poll that asks for an answer at once, as soon as one of the maxImmediatePolls slots is free.
+// A new owner sends such polls to all workers first; if it sent them together, one that is short of processor time
+// would read all answers too late. A worker that gives no answer holds its slot only for a short time.
 func (d *Driver) pollImmediately(id cottonlanding.WorkerID) {
 	select {
 	case d.pollSlots <- struct{}{}:
@@ -54,7 +53,7 @@
 	done := make(chan struct{})
 	defer close(done)
 	d.work.Go(func() { d.holdPollSlot(done) })
-	// What to ask, and whether the ownership still holds, may have changed meanwhile.
+	// The next poll and the ownership may have changed while this waited for a slot.
 	next, found := d.beginPoll(id)
 	if !found || next.After > 0 {
 		return
@@ -71,8 +70,8 @@
 	return d.nextPollLocked(id, d.deps.Clock.Now())
 }
 
-// beginPoll is nextLook for a look that goes out at once if it is due. Only looks that
-// want an answer at once can have ends to wait for, so that all others need not tell.
+// beginPoll is nextPoll that also records a poll which is sent at once. Only polls without a wait can have ends that
+// are still to be committed, so that no others are recorded.
 func (d *Driver) beginPoll(id cottonlanding.WorkerID) (planner.NextPoll, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +83,7 @@
 	return next, found
 }
 
-// nextPollLocked asks the cell for the next look. The caller holds the lock.
+// nextPollLocked asks the cell for the next poll. The caller holds the lock.
 func (d *Driver) nextPollLocked(id cottonlanding.WorkerID, now cottonlanding.Millis) (planner.NextPoll, bool) {
 	if d.cell == nil {
 		return planner.NextPoll{}, false
@@ -96,19 +95,19 @@
 	return d.cell.NextPoll(id, now)
 }
 
-// mayRenew reports whether leases may still be extended: the ownership holds, or
-// ended so recently that no successor counts them as lapsed.
+// mayRenew reports whether leases may still be extended: the ownership holds, or ended so recently that no successor
+// counts them as expired.
 func (d *Driver) mayRenew(now cottonlanding.Millis) bool {
 	until := d.deps.ValidUntil()
 	return until > 0 && now < until+d.timing.CutOffGrace
 }
 
-// await waits for a span, for a call to wake or for the end of the driver.
+// await waits for a span, until woken can be received from, or until the driver ends.
 func (d *Driver) await(woken <-chan struct{}, span cottonlanding.Millis) {
 	pauser.Wait(d.ctx, span, woken)
 }
 
-// wakePollers lets attendants look again that waited for a commit.
+// wakePollers wakes the pollers of all workers whose ends are committed.
 func (d *Driver) wakePollers() {
 	for id, poller := range d.pollers {
 		if d.cell.EndsCommitted(id) {
@@ -117,8 +116,8 @@
 	}
 }
 
-// holdPollSlot keeps the place of a prompt look until it has ended, or for promptHold
-// while others are answered sooner than that: its worker is silent then.
+// holdPollSlot holds the slot of an immediate poll until done is closed. If the last such poll was answered within
+// pollSlotTimeout, it frees the slot after that time: the worker is taken to be unresponsive.
 func (d *Driver) holdPollSlot(done chan struct{}) {
 	defer func() { <-d.pollSlots }()
 	pauser.Wait(context.Background(), pollSlotTimeout, done)
@@ -127,8 +126,8 @@
 	}
 }
 
-// poll asks a worker and tells the cell. It returns how many ends the answer lists, and whether there was one. What
-// the answer means holds from when it came: a decision may hold the cell for long after.
+// poll polls a worker and passes the outcome to the cell. It returns how many ends the answer lists, and whether there
+// was an answer. The time of the answer is read before the lock is taken, which a decision may hold for long.
 func (d *Driver) poll(next planner.NextPoll) (ends int, answered bool) {
 	ctx, cancel := context.WithTimeout(d.ctx, (next.Poll.Wait + callTimeout).Duration())
 	defer cancel()
--- a/internal/workflow/driver/pollrate_test.go
+++ b/internal/workflow/driver/pollrate_test.go
@@ -11,7 +11,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// immediateWorkers answer each look at once, whatever it allows them to wait, and count the looks.
+// immediateWorkers answer each poll at once, whatever wait it allows, and count the polls.
 type immediateWorkers struct {
 	cottonlanding.RunClient
 	polls atomic.Int64
@@ -23,9 +23,9 @@
 	return p.RunClient.Poll(ctx, worker, poll)
 }
 
-// TestPollRateIsBounded: an owner asked a worker that doesn't hold back its answers again
-// as soon as it had answered. With 16 of them, one processor had so little time left for callers that
-// cancellations weren't acknowledged within ten seconds.
+// TestPollRateIsBounded guards against an owner that polls workers which don't hold back their answers as soon as they
+// have answered. With 16 of them, one processor had so little time left for callers that cancellations weren't
+// acknowledged within ten seconds.
 func TestPollRateIsBounded(t *testing.T) {
 	const workers = 16
 	var immediate *immediateWorkers
@@ -38,5 +38,5 @@
 	o.eventually("all run", func() bool { return o.runner.Lasting() == workers })
 	before := immediate.polls.Load()
 	time.Sleep(time.Second)
-	require.LessOrEqual(t, immediate.polls.Load()-before, int64(workers*30), "each is asked twenty times a second")
+	require.LessOrEqual(t, immediate.polls.Load()-before, int64(workers*30), "each is polled twenty times a second")
 }
--- a/internal/workflow/driver/refresh.go
+++ b/internal/workflow/driver/refresh.go
@@ -5,7 +5,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/duty/waker"
 )
 
-// refresh takes in the newest configuration, evacuations and list of workers.
+// refresh applies the newest configuration, evacuations and list of workers to the cell, and starts pollers.
 func (d *Driver) refresh(now cottonlanding.Millis) {
 	d.cell.SetQueues(d.deps.Queues())
 	d.cell.SetEvacuations(d.deps.Evacuations(), now)
--- a/internal/workflow/driver/sender.go
+++ b/internal/workflow/driver/sender.go
@@ -9,8 +9,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// sendOrders gives out what is due, again and again. It waits neither for decisions
-// nor for commits: an order is only due once the rows that allow it are committed.
+// sendOrders sends due orders until the driver ends. It waits neither for decisions nor for commits: an order is only
+// due once the rows that allow it are committed.
 func (d *Driver) sendOrders() {
 	turns := ticker.New(tick)
 	defer turns.Stop()
@@ -25,10 +25,10 @@
 	}
 }
 
-// wakeSender has the orders looked through soon.
+// wakeSender has due orders sent before the next tick.
 func (d *Driver) wakeSender() { d.ordersDue.Wake() }
 
-// dispatch hands the due orders to one goroutine for each stream.
+// dispatch queues the due orders, with one goroutine for each stream.
 func (d *Driver) dispatch() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,7 +47,7 @@
 	d.meter.recordStreams(d.outbox.size())
 }
 
-// holdStarts has starts wait while what is known of workers and evacuations is too old.
+// holdStarts withholds starts while the lists of workers or evacuations are stale.
 func (d *Driver) holdStarts() {
 	age := d.startValidator.dataAges()
 	if d.cell.HoldStarts(age.stale()) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// sendAll sends the orders of a stream until there are no more.
+// sendAll sends the orders of a stream until none is left.
 func (d *Driver) sendAll(at streamKey) {
 	for {
 		order, found := d.outbox.next(at)
@@ -70,7 +70,7 @@
 	}
 }
 
-// applyResults tells the cell what became of orders, all that came at once.
+// applyResults applies the results of orders to the cell, all that are available at a time.
 func (d *Driver) applyResults() {
 	for {
 		select {
@@ -89,12 +89,11 @@
 	}
 }
 
-// send checks right before it sends that the ownership still holds, because the
-// process may have been paused, and that a start is still wanted, because it may have
-// waited for those before it, and may still go where it is to.
+// send checks right before it sends that the ownership still holds, because the process may have been paused. A start
+// must also still be requested, because it may have waited for those before it, and be allowed on its worker.
 func (d *Driver) send(order planner.Order) (cottonlanding.Reading, error) {
 	if order.SentAt >= d.deps.ValidUntil() {
-		return 0, fmt.Errorf("%w: the ownership has run out", cottonlanding.ErrLate)
+		return 0, fmt.Errorf("%w: the ownership has expired", cottonlanding.ErrLate)
 	}
 	if order.Obsolete() {
 		return 0, planner.ErrObsoleteStart
--- a/internal/workflow/driver/siblings.go
+++ b/internal/workflow/driver/siblings.go
@@ -5,12 +5,12 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// learntReadInterval is how often is read what other cells have learnt of images, which they
-// write down as often.
+// learntReadInterval is how often the rows in which other cells record what they learn of images are read; these are
+// written as often.
 const learntReadInterval = 3 * cottonlanding.Second
 
-// followLearnt tells the cell what other cells have learnt, again and again, from when a
-// workflow of its own names an image: each cell reads the rows of all others.
+// followLearnt loads what other cells have learnt, from when a workflow of this cell names an image, because each cell
+// reads the rows of all others.
 func (d *Driver) followLearnt() {
 	for d.ctx.Err() == nil {
 		if d.usesImages() {
@@ -20,21 +20,21 @@
 	}
 }
 
-// usesImages reports whether the cell has to weigh images.
+// usesImages reports whether the cell uses what is learnt of images.
 func (d *Driver) usesImages() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cell != nil && d.cell.HasImages()
 }
 
-// readLearnt reads what other cells have learnt. Of a cell whose row can't be read nothing
-// is known until the next time.
+// readLearnt reads the rows in which other cells record what they learn. A row that can't be read is left out until the
+// next time.
 func (d *Driver) readLearnt() []cottonlanding.Row {
 	var rows []cottonlanding.Row
 	for _, partition := range d.deps.Siblings() {
 		learnt, err := d.read(planner.LearntKey(partition))
 		if err != nil {
-			continue // the holder tells of a lost table
+			continue // the holder logs a lost table
 		}
 		rows = append(rows, learnt...)
 	}
@@ -48,6 +48,6 @@
 		return
 	}
 	if err := d.cell.LoadLearntByOthers(rows); err != nil {
-		d.deps.Log.Warn("what other cells have learnt is left out", "Error", err)
+		d.deps.Log.Warn("learnt image weights of other cells could not be loaded", "Error", err)
 	}
 }
--- a/internal/workflow/driver/siblings_test.go
+++ b/internal/workflow/driver/siblings_test.go
@@ -14,7 +14,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// learntReads counts the readings of what other cells have learnt of images.
+// learntReads counts the reads of what other cells have learnt of images.
 type learntReads struct {
 	cottonlanding.Table
 	count *atomic.Int64
@@ -27,7 +27,7 @@
 	return l.Table.Read(ctx, keys...)
 }
 
-// TestLearntReadsRequireImages: each cell would read the row of each other one.
+// TestLearntReadsRequireImages guards against cells that read the rows of all others although they use no images.
 func TestLearntReadsRequireImages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reads atomic.Int64
--- a/internal/workflow/driver/stale_test.go
+++ b/internal/workflow/driver/stale_test.go
@@ -19,7 +19,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// countedPolls counts the looks that are sent.
+// countedPolls counts the polls that are sent.
 type countedPolls struct {
 	cottonlanding.RunClient
 	sent atomic.Int64
@@ -30,8 +30,8 @@
 	return c.RunClient.Poll(ctx, worker, poll)
 }
 
-// TestLeaseRenewalWithUncommittedEnds: a worker whose ends wait for a commit
-// is looked at all the same, or its runs end with their leases.
+// TestLeaseRenewalWithUncommittedEnds guards against leases that expire while the ends of a worker wait for a commit:
+// the worker is polled all the same.
 func TestLeaseRenewalWithUncommittedEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, polls := &blockingTable{}, &countedPolls{}
@@ -56,11 +56,11 @@
 		time.Sleep(8 * time.Second)
 		close(unblocked)
 		require.Equal(t, 1, o.runner.Lasting(), "lasting tasks that still run")
-		require.Greater(t, polls.sent.Load(), before, "looks in 8 s without a commit; a lease has 6 s")
+		require.Greater(t, polls.sent.Load(), before, "polls in 8 s without a commit; a lease lasts 6 s")
 	})
 }
 
-// lostStartAnswer carries the first start of the workflow "lasting" out, and loses its answer.
+// lostStartAnswer carries out the first start of the workflow "lasting" and loses its answer.
 type lostStartAnswer struct {
 	slowStarts
 	lost atomic.Bool
@@ -74,8 +74,8 @@
 	return reading, err
 }
 
-// TestStopOvertakesRepeatedStart: a start that is repeated because its
-// answer was lost waits behind other starts; the stop of its run must not.
+// TestStopOvertakesRepeatedStart guards against a stop that waits for the start of its run, which is repeated behind
+// other starts because its answer was lost.
 func TestStopOvertakesRepeatedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		starts := &lostStartAnswer{slowStarts: slowStarts{delay: 900 * time.Millisecond}}
@@ -96,7 +96,7 @@
 	})
 }
 
-// leaseRemaining notes the least time that is left of a lease when a look arrives.
+// leaseRemaining records the minimum remaining time of a lease when a poll arrives.
 type leaseRemaining struct {
 	cottonlanding.RunClient
 	clock        cottonlanding.Clock
@@ -105,7 +105,7 @@
 	minRemaining cottonlanding.Millis
 }
 
-// workerClockOffset is what newOwner gives the clocks of its workers.
+// workerClockOffset is the offset of the workers' clocks in newOwner, in milliseconds.
 const workerClockOffset = 5000
 
 func (l *leaseRemaining) Poll(ctx context.Context, worker cottonlanding.WorkerRef, poll cottonlanding.Poll) (cottonlanding.RunReport, error) {
@@ -118,8 +118,8 @@
 	return l.RunClient.Poll(ctx, worker, poll)
 }
 
-// TestSlowDecisionsKeepLeases: the answer to a look came when it arrived, not when
-// the decision under way at that time had ended.
+// TestSlowDecisionsKeepLeases guards against leases that are shortened by a decision: the answer to a poll counts from
+// when it arrived, not from when the decision under way at that time has ended.
 func TestSlowDecisionsKeepLeases(t *testing.T) {
 	leases := &leaseRemaining{minRemaining: 6000}
 	policy := &slowPlacement{PlacementPolicy: spreadPlacement()}
@@ -139,13 +139,13 @@
 	o.eventually("decisions take long", func() bool { return policy.placed.Load() >= 1500 })
 	leases.mu.Lock()
 	defer leases.mu.Unlock()
-	require.Greater(t, leases.minRemaining, cottonlanding.Millis(5000), "what is left of a lease of 6 s when its look arrives")
+	require.Greater(t, leases.minRemaining, cottonlanding.Millis(5000), "remaining time of a lease of 6 s when its poll arrives")
 }
 
 // leavingDeadline is how long after a worker is known to leave a start may still reach it.
 const leavingDeadline = 2 * time.Second
 
-// queuedStarts counts the starts that are sent while late is set.
+// queuedStarts counts the starts that are sent while counting is set.
 type queuedStarts struct {
 	slowStarts
 	counting atomic.Bool
@@ -159,11 +159,11 @@
 	return l.slowStarts.Start(ctx, worker, start)
 }
 
-// queueDataCentre is the data centre of the worker that playQueue has.
+// queueDataCentre is the data centre of the worker in startQueuedRuns.
 const queueDataCentre cottonlanding.DataCentre = "d"
 
-// startQueuedRuns has one worker take 900 ms for each of ten starts of one workflow, and returns while
-// the first of them is under way. amend may replace what the owner works with.
+// startQueuedRuns has one worker take 900 ms for each of ten starts of one workflow, and returns while the first of
+// them is under way. modify may replace dependencies of the driver.
 func startQueuedRuns(t *testing.T, modify func(deps *driver.Dependencies)) *queuedStarts {
 	clock := cottonlanding.NewClock()
 	fakeWorkers := runner.New(clock, func(cottonlanding.RunKey) runner.Fate { return runner.Fate{Forever: true} })
@@ -197,8 +197,8 @@
 	require.NotZero(t, l.sent.Load(), what)
 }
 
-// TestLeavingWorkerCancelsQueuedStarts: a start that waits behind others isn't sent once its
-// worker has been known to leave for a while.
+// TestLeavingWorkerCancelsQueuedStarts guards against starts that wait behind others and are sent although their worker
+// has been known to leave for longer than leavingDeadline.
 func TestLeavingWorkerCancelsQueuedStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var leaves atomic.Bool
@@ -214,6 +214,6 @@
 			}
 		})
 		leaves.Store(true)
-		starts.requireNoneAfter(t, leavingDeadline, "starts later than that")
+		starts.requireNoneAfter(t, leavingDeadline, "starts after the deadline")
 	})
 }
--- a/internal/workflow/driver/startvalidator.go
+++ b/internal/workflow/driver/startvalidator.go
@@ -9,19 +9,18 @@
 )
 
 const (
-	// maxEvacuationsAge is how old what is known of evacuations may be for a start to be sent. A
-	// host in touch reads each one and a half seconds, and a reading counts from when it was
-	// asked for; a start takes callTimeout at most: together less than the five seconds after
-	// which a start in an evacuated data centre breaks the promise.
+	// maxEvacuationsAge is how old the list of evacuations may be when a start is sent. A connected host reads the list
+	// every 1.5 s, and its age counts from the request. This age and a start, which takes at most callTimeout, are
+	// together less than the 5 s after which nothing may start in an evacuated data centre.
 	maxEvacuationsAge = 3500 * cottonlanding.Millis(1)
-	// maxWorkerListAge is the same for the list of workers, of which a start must not come later
-	// than two seconds after it says that the worker leaves. A host in touch is at half a
-	// second and a call; one that is behind with thousands of workers is seconds late.
+	// maxWorkerListAge is how old the list of workers may be when a start is sent: a start must not come later than 2 s
+	// after the list says that the worker leaves. The list of a connected host is up to 0.5 s and a call old; that of a
+	// host which lags behind with thousands of workers is seconds old.
 	maxWorkerListAge = 1500 * cottonlanding.Millis(1)
 )
 
-// startValidator answers right before a start is sent whether it still may, by the newest lists and
-// without the cell's lock: a decision may hold that for as long as it takes.
+// startValidator checks right before a start is sent whether it is still allowed. It uses the newest lists and doesn't
+// take the cell's lock, which a decision may hold for long.
 type startValidator struct {
 	clock       cottonlanding.Clock
 	listWorkers func() ([]cottonlanding.WorkerInfo, bool)
@@ -30,7 +29,7 @@
 	leaving     atomic.Pointer[leavingWorkers]
 }
 
-// leavingWorkers holds who leaves by one list.
+// leavingWorkers holds the ids of the leaving workers of one list.
 type leavingWorkers struct {
 	list []cottonlanding.WorkerInfo
 	ids  map[cottonlanding.WorkerID]bool
@@ -40,7 +39,7 @@
 	return &startValidator{clock: deps.Clock, listWorkers: deps.ListWorkers, listedAt: deps.ListedAt, evacuations: deps.Evacuations}
 }
 
-// dataAges is how old what is known is.
+// dataAges holds the ages of the data that starts depend on.
 type dataAges struct {
 	evacuations, list cottonlanding.Millis
 }
@@ -49,17 +48,17 @@
 	return v.dataAgesFor(v.evacuations())
 }
 
-// dataAgesFor is ages for evacuations that were asked for already.
+// dataAgesFor is dataAges for evacuations that were read already.
 func (v *startValidator) dataAgesFor(evacuations cottonlanding.Evacuations) dataAges {
 	now := v.clock.Now()
 	return dataAges{evacuations: evacuations.Age(now), list: now - v.listedAt()}
 }
 
-// stale reports whether nothing may be started until it is read again.
+// stale reports whether starts have to wait until the data is read again.
 func (a dataAges) stale() bool { return a.evacuations > maxEvacuationsAge || a.list > maxWorkerListAge }
 
-// check returns planner.ErrUnwanted for a start that must not be sent any more, and ErrLate
-// for one that has to wait for newer figures.
+// check returns planner.ErrObsoleteStart for a start that must not be sent any more, and ErrLate for one that has to
+// wait for newer data.
 func (v *startValidator) check(order planner.Order) error {
 	evacuations := v.evacuations()
 	if evacuations.Includes(order.DataCentre) {
@@ -69,12 +68,12 @@
 		return fmt.Errorf("the worker is leaving: %w", planner.ErrObsoleteStart)
 	}
 	if age := v.dataAgesFor(evacuations); age.stale() {
-		return fmt.Errorf("%w: evacuations were read %s ago, the list %s", cottonlanding.ErrLate, age.evacuations, age.list)
+		return fmt.Errorf("%w: evacuations were read %s ago, the list of workers %s ago", cottonlanding.ErrLate, age.evacuations, age.list)
 	}
 	return nil
 }
 
-// isLeaving reports whether a worker is leaving.
+// isLeaving reports whether the newest list shows a worker as leaving.
 func (v *startValidator) isLeaving(id cottonlanding.WorkerID) bool {
 	list, known := v.listWorkers()
 	if !known {
--- a/internal/workflow/driver/unresponsivecell_test.go
+++ b/internal/workflow/driver/unresponsivecell_test.go
@@ -20,7 +20,7 @@
 	healthyCell      cottonlanding.CellNumber = 2
 )
 
-// alternating returns the silent cell and the healthy one in turn.
+// alternating returns the unresponsive cell and the healthy one in turn.
 type alternating struct{ turns int }
 
 func (a *alternating) next() (cottonlanding.CellNumber, bool) {
@@ -28,8 +28,8 @@
 	return unresponsiveCell + cottonlanding.CellNumber(a.turns%2), true
 }
 
-// TestUnresponsiveCellDelaysOnlyItsHandOvers guards against rounds of deliveries that last as long
-// as the call to a cell which gives no answer: workflows for all other cells waited for it.
+// TestUnresponsiveCellDelaysOnlyItsHandOvers guards against rounds of deliveries that last as long as the call to a
+// cell which gives no answer: workflows for all other cells waited for it.
 func TestUnresponsiveCellDelaysOnlyItsHandOvers(t *testing.T) {
 	const workflows = 60
 	synctest.Test(t, func(t *testing.T) {
@@ -72,9 +72,9 @@
 	})
 }
 
-// TestUnresponsiveCellDelaysOnlyItsDelegationRequests guards against rounds of questions that last as
-// long as the call to a guest cell which gives no answer: what others ran for this one was
-// learnt of a second late, and they started nothing meanwhile.
+// TestUnresponsiveCellDelaysOnlyItsDelegationRequests guards against rounds of requests that last as long as the call
+// to a delegate cell which gives no answer: the states of tasks in other cells came a second late, and these cells
+// started nothing meanwhile.
 func TestUnresponsiveCellDelaysOnlyItsDelegationRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var cells alternating
@@ -115,7 +115,7 @@
 		first := count()
 		o.eventually("the healthy cell is asked", func() bool { return count() >= first+20 })
 		for i := max(first, 1); i < len(requestedAt); i++ {
-			require.LessOrEqual(t, requestedAt[i].Sub(requestedAt[i-1]), 500*time.Millisecond, "between two questions")
+			require.LessOrEqual(t, requestedAt[i].Sub(requestedAt[i-1]), 500*time.Millisecond, "between two requests")
 		}
 	})
 }
