--- a/internal/workflow/driver/calls.go
+++ b/internal/workflow/driver/calls.go
@@ -57,7 +57,7 @@
 
 func (d *Driver) accept(cell *planner.Cell, workflow cottonlanding.Workflow, now cottonlanding.Millis, done func(error)) {
 	if d.overloaded.Load() && !cell.Knows(workflow.ID) {
-		done(fmt.Errorf("the owner is overloaded: %w", cottonlanding.ErrUnavailable))
+		done(fmt.Errorf("the owner is behind with its decisions: %w", cottonlanding.ErrUnavailable))
 		return
 	}
 	cell.Submit(workflow, now, done)
@@ -87,7 +87,7 @@
 	done := make(chan error, 1)
 	if err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) {
 		if ctx.Err() != nil {
-			done <- fmt.Errorf("the caller has given up: %w", cottonlanding.ErrUnavailable)
+			done <- fmt.Errorf("its caller has given up: %w", cottonlanding.ErrUnavailable)
 			return
 		}
 		do(cell, now, func(err error) { done <- err })
