--- a/internal/discovery/discoverer/discoverer.go
+++ b/internal/discovery/discoverer/discoverer.go
@@ -19,8 +19,8 @@
 	Poll cottonlanding.Millis
 	// Timeout bounds one call.
 	Timeout cottonlanding.Millis
-	// Patience is how long an entry may be missing before its worker counts as gone.
-	Patience cottonlanding.Millis
+	// RemovalDelay is how long an entry may be missing before its worker counts as gone.
+	RemovalDelay cottonlanding.Millis
 }
 
 // Parse reads the entry of a worker. An error says why the entry names none.
@@ -34,14 +34,14 @@
 	clock  cottonlanding.Clock
 	log    *slog.Logger
 
-	mu       sync.Mutex
-	stop     context.CancelFunc
-	known    bool
-	workers  map[cottonlanding.WorkerID]cottonlanding.WorkerInfo
-	vanished map[cottonlanding.WorkerID]cottonlanding.Millis
-	// refused holds why the entries were refused that stand and name no worker.
-	refused map[cottonlanding.WorkerID]string
-	list    []cottonlanding.WorkerInfo
+	mu           sync.Mutex
+	stop         context.CancelFunc
+	known        bool
+	workers      map[cottonlanding.WorkerID]cottonlanding.WorkerInfo
+	missingSince map[cottonlanding.WorkerID]cottonlanding.Millis
+	// refusals holds why the entries were refusals that stand and name no worker.
+	refusals map[cottonlanding.WorkerID]string
+	list     []cottonlanding.WorkerInfo
 	// readAt is as of when the list is complete, zero before it was.
 	readAt cottonlanding.Millis
 }
@@ -86,8 +86,8 @@
 	version := cottonlanding.Version(0)
 	connected := true
 	for ctx.Err() == nil {
-		began := d.clock.Now()
-		next, more, err := d.step(ctx, version)
+		startedAt := d.clock.Now()
+		next, more, err := d.readOnce(ctx, version)
 		switch {
 		case errors.Is(err, cottonlanding.ErrHistoryGone):
 			d.log.Info("list of workers is read again", "After", version)
@@ -103,25 +103,25 @@
 		if more {
 			continue
 		}
-		pauser.Pause(ctx, began+d.timing.Poll-d.clock.Now()) // a call without an answer was pause enough
+		pauser.Pause(ctx, startedAt+d.timing.Poll-d.clock.Now()) // a call without an answer was pause enough
 	}
 }
 
-// step reads the whole list if the version is zero, else what changed after it. It returns
+// readOnce reads the whole list if the version is zero, else what changed after it. It returns
 // the version from which to go on, and whether there may be more to read at once.
-func (d *Discoverer) step(ctx context.Context, version cottonlanding.Version) (next cottonlanding.Version, more bool, err error) {
+func (d *Discoverer) readOnce(ctx context.Context, version cottonlanding.Version) (next cottonlanding.Version, more bool, err error) {
 	callCtx, cancel := context.WithTimeout(ctx, d.timing.Timeout.Duration())
 	defer cancel()
-	news, err := d.feed.Read(callCtx, version, 0)
+	reading, err := d.feed.Read(callCtx, version, 0)
 	if err != nil {
 		return 0, false, err
 	}
-	d.take(ctx, news)
-	return news.Version, news.More, nil
+	d.apply(ctx, reading)
+	return reading.Version, reading.More, nil
 }
 
-// take merges a reading into the list.
-func (d *Discoverer) take(ctx context.Context, news cottonlanding.FeedReading) {
+// apply merges a reading into the list.
+func (d *Discoverer) apply(ctx context.Context, reading cottonlanding.FeedReading) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ctx.Err() != nil {
@@ -131,19 +131,19 @@
 	changed := !d.known
 	if !d.known {
 		d.workers = make(map[cottonlanding.WorkerID]cottonlanding.WorkerInfo)
-		d.vanished = make(map[cottonlanding.WorkerID]cottonlanding.Millis)
-		d.refused = make(map[cottonlanding.WorkerID]string)
+		d.missingSince = make(map[cottonlanding.WorkerID]cottonlanding.Millis)
+		d.refusals = make(map[cottonlanding.WorkerID]string)
 	}
-	if news.Whole {
+	if reading.Whole {
 		for id := range d.workers {
-			d.recordVanished(id, now)
+			d.markMissing(id, now)
 		}
 	}
-	for _, row := range news.Rows {
+	for _, row := range reading.Rows {
 		id := cottonlanding.WorkerID(row.Key)
 		if row.Deleted {
-			delete(d.refused, id)
-			d.recordVanished(id, now)
+			delete(d.refusals, id)
+			d.markMissing(id, now)
 			continue
 		}
 		info, err := d.parse(id, row.Value)
@@ -151,21 +151,21 @@
 			changed = d.refuse(id, err) || changed
 			continue
 		}
-		delete(d.refused, id)
-		delete(d.vanished, id)
+		delete(d.refusals, id)
+		delete(d.missingSince, id)
 		if old, listed := d.workers[id]; !listed || old.Attributes() != info.Attributes() {
 			d.workers[id] = info
 			changed = true
 		}
 	}
-	for id, since := range d.vanished {
-		if now-since >= d.timing.Patience {
-			delete(d.vanished, id)
+	for id, since := range d.missingSince {
+		if now-since >= d.timing.RemovalDelay {
+			delete(d.missingSince, id)
 			delete(d.workers, id)
 			changed = true
 		}
 	}
-	d.known, d.readAt = true, max(d.readAt, news.At)
+	d.known, d.readAt = true, max(d.readAt, reading.At)
 	if changed {
 		d.list = d.sorted()
 	}
@@ -174,19 +174,19 @@
 // refuse takes a worker off the list whose entry can't be used, at once: unlike one that is
 // missing, it surely isn't what the worker has written. It reports whether the list changes.
 func (d *Discoverer) refuse(id cottonlanding.WorkerID, cause error) bool {
-	if why := cause.Error(); d.refused[id] != why {
-		d.refused[id] = why
-		d.log.Error("worker's description refused", "Worker", id, "Error", why, "Listed", d.workers[id].ID != "")
+	if reason := cause.Error(); d.refusals[id] != reason {
+		d.refusals[id] = reason
+		d.log.Error("worker's description refused", "Worker", id, "Error", reason, "Listed", d.workers[id].ID != "")
 	}
 	_, listed := d.workers[id]
 	delete(d.workers, id)
-	delete(d.vanished, id)
+	delete(d.missingSince, id)
 	return listed
 }
 
-func (d *Discoverer) recordVanished(id cottonlanding.WorkerID, now cottonlanding.Millis) {
-	if _, noted := d.vanished[id]; !noted && d.workers[id].ID != "" {
-		d.vanished[id] = now
+func (d *Discoverer) markMissing(id cottonlanding.WorkerID, now cottonlanding.Millis) {
+	if _, marked := d.missingSince[id]; !marked && d.workers[id].ID != "" {
+		d.missingSince[id] = now
 	}
 }
 
--- a/internal/discovery/discoverer/discoverer_test.go
+++ b/internal/discovery/discoverer/discoverer_test.go
@@ -16,7 +16,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/discovery/discoverer"
 )
 
-var timing = discoverer.Timing{Poll: 500, Timeout: 1000, Patience: 2500}
+var timing = discoverer.Timing{Poll: 500, Timeout: 1000, RemovalDelay: 2500}
 
 // parse takes an entry for the worker's address.
 func parse(id cottonlanding.WorkerID, entry []byte) (cottonlanding.WorkerInfo, error) {
@@ -34,94 +34,94 @@
 // removed is an entry that is gone.
 func removed(id string) cottonlanding.FeedRow { return cottonlanding.FeedRow{Key: id, Deleted: true} }
 
-// table is a feed of which a test says what the next call gives.
-type table struct {
+// feed is a feed of which a test says what the next call gives.
+type feed struct {
 	clock cottonlanding.Clock
 
 	mu   sync.Mutex
 	next cottonlanding.FeedReading
 	err  error
-	// asked holds the versions from which was read.
-	asked []cottonlanding.Version
+	// requested holds the versions from which was read.
+	requested []cottonlanding.Version
 }
 
-func (f *table) Read(_ context.Context, version cottonlanding.Version, _ cottonlanding.Millis) (cottonlanding.FeedReading, error) {
+func (f *feed) Read(_ context.Context, version cottonlanding.Version, _ cottonlanding.Millis) (cottonlanding.FeedReading, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = append(f.asked, version)
-	news, err := f.next, f.err
-	news.At = f.clock.Now()
-	f.next = cottonlanding.FeedReading{Version: news.Version}
+	f.requested = append(f.requested, version)
+	reading, err := f.next, f.err
+	reading.At = f.clock.Now()
+	f.next = cottonlanding.FeedReading{Version: reading.Version}
 	if errors.Is(err, cottonlanding.ErrHistoryGone) {
 		f.err = nil // the whole table can be read
 	}
-	return news, err
+	return reading, err
 }
 
-// say sets what the next call gives besides the version, which grows.
-func (f *table) say(rows []cottonlanding.FeedRow, whole bool, err error) {
+// setNext sets what the next call gives besides the version, which grows.
+func (f *feed) setNext(rows []cottonlanding.FeedRow, whole bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next = cottonlanding.FeedReading{Rows: rows, Whole: whole, Version: f.next.Version + 1}
 	f.err = err
 }
 
-// sayMore makes the next call tell that there may be more.
-func (f *table) sayMore() {
+// setNextIncomplete makes the next call tell that there may be more.
+func (f *feed) setNextIncomplete() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next = cottonlanding.FeedReading{More: true, Version: f.next.Version + 1}
 }
 
-// calls returns the versions from which was read since it was asked last.
-func (f *table) calls() []cottonlanding.Version {
+// takeRequested returns the versions from which was read since it was asked last.
+func (f *feed) takeRequested() []cottonlanding.Version {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	asked := f.asked
-	f.asked = nil
-	return asked
+	requested := f.requested
+	f.requested = nil
+	return requested
 }
 
-// journal takes in log lines.
-type journal struct {
+// logBuffer takes in log lines.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (j *journal) Write(data []byte) (int, error) {
+func (j *logBuffer) Write(data []byte) (int, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.text.Write(data)
 }
 
 // count returns how often a text stands in the lines.
-func (j *journal) count(text string) int {
+func (j *logBuffer) count(text string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return strings.Count(j.text.String(), text)
 }
 
-// bench is a discoverer that follows a table, and its log.
-type bench struct {
+// fixture is a discoverer that follows a table, and its log.
+type fixture struct {
 	*discoverer.Discoverer
-	table *table
-	lines *journal
+	feed  *feed
+	lines *logBuffer
 }
 
-// tells makes the next call give rows, and waits for it.
-func (b *bench) tells(whole bool, rows ...cottonlanding.FeedRow) {
-	b.table.say(rows, whole, nil)
-	b.passes(timing.Poll)
+// update makes the next call give rows, and waits for it.
+func (b *fixture) update(whole bool, rows ...cottonlanding.FeedRow) {
+	b.feed.setNext(rows, whole, nil)
+	b.advance(timing.Poll)
 }
 
-// passes lets time go by.
-func (b *bench) passes(span cottonlanding.Millis) {
+// advance lets time go by.
+func (b *fixture) advance(span cottonlanding.Millis) {
 	time.Sleep(span.Duration())
 	synctest.Wait()
 }
 
 // listed returns the ids and addresses on the list.
-func (b *bench) listed() string {
+func (b *fixture) listed() string {
 	var out []string
 	list, _ := b.Workers()
 	for _, info := range list {
@@ -130,14 +130,14 @@
 	return strings.Join(out, " ")
 }
 
-// follow runs a test with a discoverer that follows a table of two workers.
-func follow(t *testing.T, test func(t *testing.T, b *bench)) {
+// testFollowing runs a test with a discoverer that follows a table of two workers.
+func testFollowing(t *testing.T, test func(t *testing.T, b *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		clock := cottonlanding.ClockOf(func() cottonlanding.Millis { return cottonlanding.FromDuration(time.Since(began)) + 1 })
-		b := &bench{table: &table{clock: clock}, lines: new(journal)}
-		b.table.say([]cottonlanding.FeedRow{entry("b", "2"), entry("a", "1")}, true, nil)
-		b.Discoverer = discoverer.New(b.table, parse, timing, clock, slog.New(slog.NewTextHandler(b.lines, nil)))
+		b := &fixture{feed: &feed{clock: clock}, lines: new(logBuffer)}
+		b.feed.setNext([]cottonlanding.FeedRow{entry("b", "2"), entry("a", "1")}, true, nil)
+		b.Discoverer = discoverer.New(b.feed, parse, timing, clock, slog.New(slog.NewTextHandler(b.lines, nil)))
 		_, known := b.Workers()
 		require.False(t, known, "nothing is known before it is followed")
 		b.Follow(true)
@@ -152,78 +152,78 @@
 	})
 }
 
-// TestEntryThatIsMissingIsWaitedFor: a worker whose entry is gone stays on the list for the
+// TestMissingEntryRemovedAfterDelay: a worker whose entry is gone stays on the list for the
 // patience, also if a whole reading lacks it, and for good if the entry comes back.
-func TestEntryThatIsMissingIsWaitedFor(t *testing.T) {
-	follow(t, func(t *testing.T, b *bench) {
-		b.tells(false, removed("a"))
-		b.tells(true, entry("a", "1"))
-		b.passes(timing.Patience - 2*timing.Poll)
+func TestMissingEntryRemovedAfterDelay(t *testing.T) {
+	testFollowing(t, func(t *testing.T, b *fixture) {
+		b.update(false, removed("a"))
+		b.update(true, entry("a", "1"))
+		b.advance(timing.RemovalDelay - 2*timing.Poll)
 		require.Equal(t, "a=1 b=2", b.listed())
-		b.passes(timing.Poll)
+		b.advance(timing.Poll)
 		require.Equal(t, "a=1 b=2", b.listed(), "the whole reading lacks b since a poll later")
-		b.passes(timing.Poll)
+		b.advance(timing.Poll)
 		require.Equal(t, "a=1", b.listed())
 	})
 }
 
-// TestEntryThatIsRefusedNamesNoWorkerAtOnce: it is told once for each reason.
-func TestEntryThatIsRefusedNamesNoWorkerAtOnce(t *testing.T) {
-	follow(t, func(t *testing.T, b *bench) {
-		b.tells(false, entry("a", ""))
+// TestRefusedEntryRemovedAtOnce: it is told once for each reason.
+func TestRefusedEntryRemovedAtOnce(t *testing.T) {
+	testFollowing(t, func(t *testing.T, b *fixture) {
+		b.update(false, entry("a", ""))
 		require.Equal(t, "b=2", b.listed())
-		b.tells(false, entry("a", ""))
+		b.update(false, entry("a", ""))
 		require.Equal(t, 1, b.lines.count("refused"))
-		b.tells(false, entry("a", "3"))
+		b.update(false, entry("a", "3"))
 		require.Equal(t, "a=3 b=2", b.listed())
-		b.tells(false, entry("a", ""))
+		b.update(false, entry("a", ""))
 		require.Equal(t, 2, b.lines.count("refused"))
 	})
 }
 
-// TestListIsNewOnlyIfItDiffers: whoever holds a list can tell by it that nothing has changed.
-func TestListIsNewOnlyIfItDiffers(t *testing.T) {
-	follow(t, func(t *testing.T, b *bench) {
+// TestUnchangedListIsSameSlice: whoever holds a list can tell by it that nothing has changed.
+func TestUnchangedListIsSameSlice(t *testing.T) {
+	testFollowing(t, func(t *testing.T, b *fixture) {
 		before, _ := b.Workers()
 		readAt := b.ReadAt()
-		b.tells(false, entry("a", "1"))
+		b.update(false, entry("a", "1"))
 		after, _ := b.Workers()
 		require.Same(t, &before[0], &after[0])
 		require.Equal(t, readAt+timing.Poll, b.ReadAt(), "it is known to hold until later")
-		b.tells(false, entry("a", "5"))
+		b.update(false, entry("a", "5"))
 		require.Equal(t, "a=5 b=2", b.listed())
 		require.Equal(t, cottonlanding.Address("1"), before[0].Address, "a list is never changed")
 	})
 }
 
-// TestListHoldsWhileNothingIsKnown: while the table is away the list stays, and its age shows.
-func TestListHoldsWhileNothingIsKnown(t *testing.T) {
-	follow(t, func(t *testing.T, b *bench) {
+// TestListKeptWhileTableUnavailable: while the table is away the list stays, and its age shows.
+func TestListKeptWhileTableUnavailable(t *testing.T) {
+	testFollowing(t, func(t *testing.T, b *fixture) {
 		readAt := b.ReadAt()
-		b.table.say(nil, true, cottonlanding.ErrUnavailable)
-		b.passes(10 * timing.Patience)
+		b.feed.setNext(nil, true, cottonlanding.ErrUnavailable)
+		b.advance(10 * timing.RemovalDelay)
 		require.Equal(t, "a=1 b=2", b.listed())
 		require.Equal(t, readAt, b.ReadAt())
 		require.Equal(t, 1, b.lines.count("Connected=false"))
-		b.tells(false)
+		b.update(false)
 		require.Equal(t, 1, b.lines.count("Connected=true"))
 	})
 }
 
-// TestListIsReadAtOnceIfThereIsMore: a poll passes between two readings, unless the first may not
+// TestIncompleteReadingContinuedAtOnce: a poll passes between two readings, unless the first may not
 // have told all or its history is lost.
-func TestListIsReadAtOnceIfThereIsMore(t *testing.T) {
-	follow(t, func(t *testing.T, b *bench) {
-		require.Equal(t, []cottonlanding.Version{0}, b.table.calls())
-		b.passes(timing.Poll - 1)
-		require.Empty(t, b.table.calls())
-		b.passes(1)
-		require.Equal(t, []cottonlanding.Version{1}, b.table.calls())
-		b.table.sayMore()
-		b.passes(timing.Poll)
-		require.Equal(t, []cottonlanding.Version{1, 2}, b.table.calls())
-		b.table.say(nil, false, cottonlanding.ErrHistoryGone)
-		b.passes(timing.Poll)
-		require.Equal(t, []cottonlanding.Version{2, 0}, b.table.calls())
+func TestIncompleteReadingContinuedAtOnce(t *testing.T) {
+	testFollowing(t, func(t *testing.T, b *fixture) {
+		require.Equal(t, []cottonlanding.Version{0}, b.feed.takeRequested())
+		b.advance(timing.Poll - 1)
+		require.Empty(t, b.feed.takeRequested())
+		b.advance(1)
+		require.Equal(t, []cottonlanding.Version{1}, b.feed.takeRequested())
+		b.feed.setNextIncomplete()
+		b.advance(timing.Poll)
+		require.Equal(t, []cottonlanding.Version{1, 2}, b.feed.takeRequested())
+		b.feed.setNext(nil, false, cottonlanding.ErrHistoryGone)
+		b.advance(timing.Poll)
+		require.Equal(t, []cottonlanding.Version{2, 0}, b.feed.takeRequested())
 	})
 }
--- a/internal/discovery/relayer/relayer.go
+++ b/internal/discovery/relayer/relayer.go
@@ -21,11 +21,11 @@
 	// News returns what changed after a version, as of a fresh reading of the source, or all
 	// that is known already if the version is zero. It returns ErrUnavailable if there is no
 	// fresh reading soon.
-	News(ctx context.Context, after cottonlanding.Version) (Answer, error)
+	News(ctx context.Context, after cottonlanding.Version) (Response, error)
 }
 
-// Answer is what a source tells.
-type Answer struct {
+// Response is what a source tells.
+type Response struct {
 	News cottonlanding.FeedReading
 	// Age is how long before the question arrived the source's reading was asked for; it is
 	// negative for one that was asked for while the question waited.
@@ -34,35 +34,35 @@
 
 // Timing bounds the calls of a relay.
 type Timing struct {
-	// AskTimeout bounds one question, WholeTimeout one for the whole table.
-	AskTimeout   cottonlanding.Millis
-	WholeTimeout cottonlanding.Millis
+	// RequestTimeout bounds one question, WholeTimeout one for the whole table.
+	RequestTimeout cottonlanding.Millis
+	WholeTimeout   cottonlanding.Millis
 	// FeedTimeout bounds one reading of the feed.
 	FeedTimeout cottonlanding.Millis
-	// Fresh is how old a reading may be that is told at once. Hold is how long a question
+	// FreshFor is how old a reading may be that is told at once. Hold is how long a question
 	// waits for the next one otherwise: longer than the time between two of them, and than
 	// one takes.
-	Fresh cottonlanding.Millis
-	Hold  cottonlanding.Millis
-	// Oldest is how old a source's reading may be. One that is cut off from the table still
+	FreshFor     cottonlanding.Millis
+	FreshTimeout cottonlanding.Millis
+	// MaxAge is how old a source's reading may be. One that is cut off from the table still
 	// answers.
-	Oldest cottonlanding.Millis
-	// DirectFor is for how long the feed is read after a source has failed.
-	DirectFor cottonlanding.Millis
-	// KeptFor is how long news is remembered. Who asks for what came before gets the whole
+	MaxAge cottonlanding.Millis
+	// FallbackPeriod is for how long the feed is read after a source has failed.
+	FallbackPeriod cottonlanding.Millis
+	// Retention is how long news is remembered. Who asks for what came before gets the whole
 	// table.
-	KeptFor cottonlanding.Millis
+	Retention cottonlanding.Millis
 }
 
 // Dependencies are what a relay works with.
 type Dependencies struct {
 	// Feed is the table itself.
 	Feed cottonlanding.Feed
-	// Meaning returns what an entry says, to be compared by ==, or nil if it can't be read. An
+	// Attributes returns what an entry says, to be compared by ==, or nil if it can't be read. An
 	// entry is news if it says something else than before.
-	Meaning func(entry []byte) any
-	Clock   cottonlanding.Clock
-	Log     *slog.Logger
+	Attributes func(entry []byte) any
+	Clock      cottonlanding.Clock
+	Log        *slog.Logger
 }
 
 // Relay is a feed that asks a source rather than the table, and a source for others. It
@@ -78,10 +78,10 @@
 
 	mu sync.Mutex
 	// choose returns the process to ask, or nil if this one reads for all.
-	choose  func() Source
-	digest  *digest
-	counts  Counts
-	updated chan struct{}
+	choose     func() Source
+	tableCache *tableCache
+	counts     Counts
+	updated    chan struct{}
 }
 
 // Counts tells how a relay came to know the table.
@@ -97,11 +97,11 @@
 // New returns a relay that knows nothing yet and reads the feed.
 func New(deps Dependencies, timing Timing) *Relay {
 	return &Relay{
-		deps:    deps,
-		timing:  timing,
-		choose:  func() Source { return nil },
-		digest:  newDigest(deps.Meaning),
-		updated: make(chan struct{}),
+		deps:       deps,
+		timing:     timing,
+		choose:     func() Source { return nil },
+		tableCache: newTableCache(deps.Attributes),
+		updated:    make(chan struct{}),
 	}
 }
 
@@ -121,18 +121,18 @@
 
 // Read implements cottonlanding.Feed. One goroutine reads at a time.
 func (r *Relay) Read(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
-	if source := r.sourceNow(); source != nil {
-		news, err := r.ask(ctx, source, version)
+	if source := r.currentSource(); source != nil {
+		reading, err := r.request(ctx, source, version)
 		if err == nil {
-			return news, nil
+			return reading, nil
 		}
 		r.recordDirect(true, err)
 	}
 	return r.readFeed(ctx, version, wait)
 }
 
-// sourceNow returns the source to ask, or nil while the feed is to be read.
-func (r *Relay) sourceNow() Source {
+// currentSource returns the source to ask, or nil while the feed is to be read.
+func (r *Relay) currentSource() Source {
 	r.mu.Lock()
 	choose := r.choose
 	r.mu.Unlock()
@@ -146,55 +146,55 @@
 	return source
 }
 
-// ask asks a source for what changed after a version.
-func (r *Relay) ask(ctx context.Context, source Source, version cottonlanding.Version) (cottonlanding.FeedReading, error) {
-	timeout := r.timing.AskTimeout
+// request asks a source for what changed after a version.
+func (r *Relay) request(ctx context.Context, source Source, version cottonlanding.Version) (cottonlanding.FeedReading, error) {
+	timeout := r.timing.RequestTimeout
 	if version == 0 {
 		timeout = r.timing.WholeTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	sent := r.deps.Clock.Now()
-	answer, err := source.News(ctx, version)
+	response, err := source.News(ctx, version)
 	if err != nil {
 		return cottonlanding.FeedReading{}, err
 	}
-	news := answer.News
+	reading := response.News
 	// The question can't have arrived before it was sent, so that this is no later than the
 	// source asked for its reading.
-	news.At = sent - answer.Age
-	if age := r.deps.Clock.Now() - news.At; age > r.timing.Oldest {
+	reading.At = sent - response.Age
+	if age := r.deps.Clock.Now() - reading.At; age > r.timing.MaxAge {
 		return cottonlanding.FeedReading{}, &staleError{age}
 	}
-	if known := r.version(); news.Whole && news.Version < known {
-		return cottonlanding.FeedReading{}, &behindError{news.Version, known}
+	if known := r.version(); reading.Whole && reading.Version < known {
+		return cottonlanding.FeedReading{}, &outdatedError{reading.Version, known}
 	}
-	news.Version = max(news.Version, version) // a source that is behind takes nothing back
+	reading.Version = max(reading.Version, version) // a source that is behind takes nothing back
 	r.recordDirect(false, nil)
-	return r.take(news, func(c *Counts) { c.Relayed, c.RelayedRows = c.Relayed+1, c.RelayedRows+int64(len(news.Rows)) }), nil
+	return r.apply(reading, func(c *Counts) { c.Relayed, c.RelayedRows = c.Relayed+1, c.RelayedRows+int64(len(reading.Rows)) }), nil
 }
 
 // version returns up to where the table is known here.
 func (r *Relay) version() cottonlanding.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.digest.version
+	return r.tableCache.version
 }
 
 func (r *Relay) readFeed(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
 	ctx, cancel := context.WithTimeout(ctx, (r.timing.FeedTimeout + wait).Duration())
 	defer cancel()
-	news, err := r.deps.Feed.Read(ctx, version, wait)
+	reading, err := r.deps.Feed.Read(ctx, version, wait)
 	if err != nil {
 		return cottonlanding.FeedReading{}, err
 	}
-	return r.take(news, func(c *Counts) { c.Direct, c.DirectRows = c.Direct+1, c.DirectRows+int64(len(news.Rows)) }), nil
+	return r.apply(reading, func(c *Counts) { c.Direct, c.DirectRows = c.Direct+1, c.DirectRows+int64(len(reading.Rows)) }), nil
 }
 
 // recordDirect takes in whether the feed is read in place of a source.
 func (r *Relay) recordDirect(direct bool, cause error) {
 	if direct {
-		r.directUntil = r.deps.Clock.Now() + r.timing.DirectFor
+		r.directUntil = r.deps.Clock.Now() + r.timing.FallbackPeriod
 	}
 	if r.direct != direct {
 		r.direct = direct
@@ -202,47 +202,47 @@
 	}
 }
 
-// take keeps a reading for those who ask this process, and returns it without the entries
+// apply keeps a reading for those who ask this process, and returns it without the entries
 // that say nothing new.
-func (r *Relay) take(news cottonlanding.FeedReading, count func(*Counts)) cottonlanding.FeedReading {
+func (r *Relay) apply(reading cottonlanding.FeedReading, count func(*Counts)) cottonlanding.FeedReading {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count(&r.counts)
 	now := r.deps.Clock.Now()
-	news.Rows = r.digest.take(news, now)
-	r.digest.forget(now - r.timing.KeptFor)
+	reading.Rows = r.tableCache.apply(reading, now)
+	r.tableCache.prune(now - r.timing.Retention)
 	close(r.updated)
 	r.updated = make(chan struct{})
-	return news
+	return reading
 }
 
 // News implements Source for other processes.
-func (r *Relay) News(ctx context.Context, after cottonlanding.Version) (Answer, error) {
+func (r *Relay) News(ctx context.Context, after cottonlanding.Version) (Response, error) {
 	arrived := r.deps.Clock.Now()
-	if after > 0 && !r.awaitReading(ctx, arrived-r.timing.Fresh) {
-		return Answer{}, errNoReading
+	if after > 0 && !r.awaitFreshReading(ctx, arrived-r.timing.FreshFor) {
+		return Response{}, errNoReading
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news, err := r.digest.news(after)
+	readingAfter, err := r.tableCache.readingAfter(after)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	r.counts.Answered++
-	r.counts.AnsweredRows += int64(len(news.Rows))
-	return Answer{News: news, Age: arrived - r.digest.at}, nil
+	r.counts.AnsweredRows += int64(len(readingAfter.Rows))
+	return Response{News: readingAfter, Age: arrived - r.tableCache.completeAt}, nil
 }
 
-// awaitReading waits, but no longer than Hold, for the table to be known completely as of an
+// awaitFreshReading waits, but no longer than Hold, for the table to be known completely as of an
 // instant, and reports whether it is. A long reading comes in parts.
-func (r *Relay) awaitReading(ctx context.Context, asOf cottonlanding.Millis) bool {
-	ctx, cancel := context.WithTimeout(ctx, r.timing.Hold.Duration())
+func (r *Relay) awaitFreshReading(ctx context.Context, asOf cottonlanding.Millis) bool {
+	ctx, cancel := context.WithTimeout(ctx, r.timing.FreshTimeout.Duration())
 	defer cancel()
 	for {
 		r.mu.Lock()
-		at, updated := r.digest.at, r.updated
+		completeAt, updated := r.tableCache.completeAt, r.updated
 		r.mu.Unlock()
-		if at >= asOf {
+		if completeAt >= asOf {
 			return true
 		}
 		select {
--- a/internal/discovery/relayer/relayer_test.go
+++ b/internal/discovery/relayer/relayer_test.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	poll = 500 * cottonlanding.Millis(1)
-	beat = 1500 * cottonlanding.Millis(1)
+	pollInterval    = 500 * cottonlanding.Millis(1)
+	rewriteInterval = 1500 * cottonlanding.Millis(1)
 )
 
-// The feed tells of feedPage changes at once, in readingTakes.
+// The feed tells of maxFeedRows changes at once, in readDuration.
 const (
-	feedPage     = 25
-	readingTakes = 20 * time.Millisecond
+	maxFeedRows  = 25
+	readDuration = 20 * time.Millisecond
 )
 
-var timing = relayer.Timing{AskTimeout: 700, WholeTimeout: 1500, FeedTimeout: 1000, Fresh: 150, Hold: 600, Oldest: 2 * poll, DirectFor: 2000, KeptFor: 20_000}
+var timing = relayer.Timing{RequestTimeout: 700, WholeTimeout: 1500, FeedTimeout: 1000, FreshFor: 150, FreshTimeout: 600, MaxAge: 2 * pollInterval, FallbackPeriod: 2000, Retention: 20_000}
 
 // list is a table of entries of the form "meaning|count of rewrites".
 type list struct {
@@ -38,8 +38,8 @@
 	rows    map[string]cottonlanding.FeedRow
 	changes []cottonlanding.FeedRow
 	version cottonlanding.Version
-	// forgotten is the version up to which the history is gone.
-	forgotten cottonlanding.Version
+	// discardedUpTo is the version up to which the history is gone.
+	discardedUpTo cottonlanding.Version
 	// rowsRead and readings count what was asked of it.
 	rowsRead, readings int
 }
@@ -71,15 +71,15 @@
 	l.changes = append(l.changes, row)
 }
 
-// forget drops the history.
-func (l *list) forget() {
+// discardHistory drops the history.
+func (l *list) discardHistory() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forgotten = l.version
+	l.discardedUpTo = l.version
 }
 
-// used returns how many readings there were, and of how many rows.
-func (l *list) used() (readings, rows int) {
+// counts returns how many readings there were, and of how many rows.
+func (l *list) counts() (readings, rows int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.readings, l.rowsRead
@@ -95,10 +95,10 @@
 
 func (l *list) Read(_ context.Context, after cottonlanding.Version, _ cottonlanding.Millis) (cottonlanding.FeedReading, error) {
 	sentAt := l.clock.Now()
-	time.Sleep(readingTakes)
+	time.Sleep(readDuration)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if after > 0 && after < l.forgotten {
+	if after > 0 && after < l.discardedUpTo {
 		return cottonlanding.FeedReading{}, cottonlanding.ErrHistoryGone
 	}
 	out := cottonlanding.FeedReading{Whole: after == 0, Version: l.version, At: sentAt}
@@ -111,7 +111,7 @@
 		if after > 0 && row.Version > after {
 			out.Rows = append(out.Rows, row)
 		}
-		if len(out.Rows) == feedPage && after > 0 {
+		if len(out.Rows) == maxFeedRows && after > 0 {
 			out.Version, out.More, out.At = row.Version, true, 0
 			break
 		}
@@ -148,8 +148,8 @@
 	return r.more
 }
 
-// knows returns what an entry said last.
-func (r *reader) knows(key string) (string, bool) {
+// lastAttributes returns what an entry said last.
+func (r *reader) lastAttributes(key string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	said, found := r.known[key]
@@ -165,29 +165,29 @@
 
 func newReader(clock cottonlanding.Clock, feed cottonlanding.Feed) *reader {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	relay := relayer.New(relayer.Dependencies{Feed: feed, Meaning: meaning, Clock: clock, Log: log}, timing)
+	relay := relayer.New(relayer.Dependencies{Feed: feed, Attributes: meaning, Clock: clock, Log: log}, timing)
 	return &reader{Relay: relay, known: make(map[string]string)}
 }
 
 func (r *reader) read(ctx context.Context) error {
-	news, err := r.Read(ctx, r.version, 0)
+	reading, err := r.Read(ctx, r.version, 0)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
 		r.version = 0
 		return err
 	}
-	if news.Whole {
+	if reading.Whole {
 		clear(r.known)
 	}
-	for _, row := range news.Rows {
+	for _, row := range reading.Rows {
 		if row.Deleted {
 			delete(r.known, row.Key)
 			continue
 		}
 		r.known[row.Key], _ = meaning(row.Value).(string)
 	}
-	r.version, r.at, r.more = news.Version, max(r.at, news.At), news.More
+	r.version, r.at, r.more = reading.Version, max(r.at, reading.At), reading.More
 	return nil
 }
 
@@ -197,42 +197,42 @@
 		began := time.Now()
 		_ = r.read(ctx) // the next one tells
 		if !r.hasMore() {
-			time.Sleep(time.Until(began.Add(poll.Duration())))
+			time.Sleep(time.Until(began.Add(pollInterval.Duration())))
 		}
 	}
 }
 
-// silentSource answers nothing while it is silent.
-type silentSource struct {
+// unresponsiveSource answers nothing while it is silent.
+type unresponsiveSource struct {
 	relayer.Source
-	silent *atomic.Bool
+	unresponsive *atomic.Bool
 }
 
-func (s silentSource) News(ctx context.Context, after cottonlanding.Version) (relayer.Answer, error) {
-	if s.silent.Load() {
+func (s unresponsiveSource) News(ctx context.Context, after cottonlanding.Version) (relayer.Response, error) {
+	if s.unresponsive.Load() {
 		<-ctx.Done()
-		return relayer.Answer{}, cottonlanding.ErrAmbiguous
+		return relayer.Response{}, cottonlanding.ErrAmbiguous
 	}
 	return s.Source.News(ctx, after)
 }
 
-// house is some owners of which the first reads for all, and workers that rewrite their
+// deployment is some owners of which the first reads for all, and workers that rewrite their
 // entries.
-type house struct {
+type deployment struct {
 	*list
-	readers []*reader
-	silent  atomic.Bool
+	readers      []*reader
+	unresponsive atomic.Bool
 }
 
-// phase is how much later each reader begins than the one before.
-const phase = 70 * time.Millisecond
+// startInterval is how much later each reader begins than the one before.
+const startInterval = 70 * time.Millisecond
 
-// play runs a house for a while.
-func play(t *testing.T, owners, workers int, test func(t *testing.T, clock cottonlanding.Clock, h *house)) {
+// simulate runs a house for a while.
+func simulate(t *testing.T, owners, workers int, test func(t *testing.T, clock cottonlanding.Clock, h *deployment)) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
 		time.Sleep(time.Second) // an instant of zero is none
-		h := &house{list: newList(clock)}
+		h := &deployment{list: newList(clock)}
 		for number := range workers {
 			h.put(fmt.Sprint(number), "ready")
 		}
@@ -241,15 +241,15 @@
 			one := newReader(clock, h.list)
 			h.readers = append(h.readers, one)
 			if number > 0 {
-				source := silentSource{h.readers[0], &h.silent}
+				source := unresponsiveSource{h.readers[0], &h.unresponsive}
 				one.ChooseBy(func() relayer.Source { return source })
 			}
 			go one.follow(ctx)
-			time.Sleep(phase) // readers poll at phases of their own
+			time.Sleep(startInterval) // readers poll at phases of their own
 		}
 		go func() {
 			for ctx.Err() == nil {
-				time.Sleep(beat.Duration())
+				time.Sleep(rewriteInterval.Duration())
 				h.rewrite()
 			}
 		}()
@@ -260,45 +260,45 @@
 	})
 }
 
-// oldest returns the age of the oldest list.
-func (h *house) oldest(clock cottonlanding.Clock) cottonlanding.Millis {
-	worst := cottonlanding.Millis(0)
+// maxAge returns the age of the maxAge list.
+func (h *deployment) maxAge(clock cottonlanding.Clock) cottonlanding.Millis {
+	highest := cottonlanding.Millis(0)
 	for _, one := range h.readers {
-		worst = max(worst, clock.Now()-one.knownAt())
+		highest = max(highest, clock.Now()-one.knownAt())
 	}
-	return worst
+	return highest
 }
 
-// TestEntriesAreReadOnceForAllOwners is the growth of what is read of the table: it must be
+// TestEntriesReadOnceForAllOwners is the growth of what is read of the table: it must be
 // that of the workers, whatever the number of owners.
-func TestEntriesAreReadOnceForAllOwners(t *testing.T) {
+func TestEntriesReadOnceForAllOwners(t *testing.T) {
 	const workers, seconds = 60, 12
 	read := make(map[int]int)
 	for _, owners := range []int{1, 4, 24, 48} {
-		play(t, owners, workers, func(t *testing.T, clock cottonlanding.Clock, h *house) {
-			_, before := h.used()
+		simulate(t, owners, workers, func(t *testing.T, clock cottonlanding.Clock, h *deployment) {
+			_, before := h.counts()
 			for range seconds {
 				time.Sleep(time.Second)
-				require.LessOrEqual(t, h.oldest(clock), 2*poll)
+				require.LessOrEqual(t, h.maxAge(clock), 2*pollInterval)
 			}
-			_, after := h.used()
+			_, after := h.counts()
 			read[owners] = after - before
 		})
 	}
-	beats := seconds * workers * int(cottonlanding.Second) / int(beat)
+	rewrites := seconds * workers * int(cottonlanding.Second) / int(rewriteInterval)
 	for owners, rows := range read {
-		require.InDelta(t, beats, rows, workers, "%d owners", owners) // one beat more or less
+		require.InDelta(t, rewrites, rows, workers, "%d owners", owners) // one beat more or less
 	}
 }
 
-// TestNewsReachesAll checks that changes, removals and returns of an entry come to all
+// TestChangesReachAllOwners checks that changes, removals and returns of an entry come to all
 // owners with the next reading.
-func TestNewsReachesAll(t *testing.T) {
-	play(t, 5, 4, func(t *testing.T, _ cottonlanding.Clock, h *house) {
+func TestChangesReachAllOwners(t *testing.T) {
+	simulate(t, 5, 4, func(t *testing.T, _ cottonlanding.Clock, h *deployment) {
 		all := func(key, said string, there bool) {
-			time.Sleep((2 * poll).Duration())
+			time.Sleep((2 * pollInterval).Duration())
 			for _, one := range h.readers {
-				got, found := one.knows(key)
+				got, found := one.lastAttributes(key)
 				require.Equal(t, there, found)
 				require.Equal(t, said, got)
 			}
@@ -314,42 +314,42 @@
 		h.put("new", "ready")
 		all("3", "ready", true)
 		all("new", "ready", true)
-		h.forget()
+		h.discardHistory()
 		h.put("new", "draining")
 		all("new", "draining", true)
 	})
 }
 
-// TestListStaysFreshWithoutASource checks that owners go on from where they are while the
+// TestListStaysFreshWhileSourceUnresponsive checks that owners go on from where they are while the
 // source is silent or cut off from the table, without a reading of the whole list, and come
 // back to it.
-func TestListStaysFreshWithoutASource(t *testing.T) {
-	play(t, 4, 20, func(t *testing.T, clock cottonlanding.Clock, h *house) {
+func TestListStaysFreshWhileSourceUnresponsive(t *testing.T) {
+	simulate(t, 4, 20, func(t *testing.T, clock cottonlanding.Clock, h *deployment) {
 		const startsWaitFrom = 1500 * cottonlanding.Millis(1)
-		h.silent.Store(true)
+		h.unresponsive.Store(true)
 		for range 80 {
 			time.Sleep(100 * time.Millisecond)
-			require.Less(t, h.oldest(clock), startsWaitFrom)
+			require.Less(t, h.maxAge(clock), startsWaitFrom)
 		}
 		h.put("1", "draining")
-		time.Sleep((3 * poll).Duration())
+		time.Sleep((3 * pollInterval).Duration())
 		for _, one := range h.readers {
-			said, _ := one.knows("1")
+			said, _ := one.lastAttributes("1")
 			require.Equal(t, "draining", said)
 		}
-		h.silent.Store(false)
-		time.Sleep((timing.DirectFor + 2*poll).Duration())
-		before, _ := h.used()
+		h.unresponsive.Store(false)
+		time.Sleep((timing.FallbackPeriod + 2*pollInterval).Duration())
+		before, _ := h.counts()
 		time.Sleep(5 * time.Second)
-		after, _ := h.used()
-		pages := 5*int(cottonlanding.Second/beat) + 1
-		require.LessOrEqual(t, after-before, 5*int(cottonlanding.Second/poll)+pages, "one reads for all again")
+		after, _ := h.counts()
+		pages := 5*int(cottonlanding.Second/rewriteInterval) + 1
+		require.LessOrEqual(t, after-before, 5*int(cottonlanding.Second/pollInterval)+pages, "one reads for all again")
 	})
 }
 
-// TestStaleSourceIsNotBelieved checks that a source that can't read the table any more is
+// TestStaleSourceRejected checks that a source that can't read the table any more is
 // left, and that one that knows less takes nothing back.
-func TestStaleSourceIsNotBelieved(t *testing.T) {
+func TestStaleSourceRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
 		time.Sleep(time.Second)
@@ -369,16 +369,16 @@
 		require.Equal(t, "draining", follower.known["1"], "an older whole list takes nothing back")
 
 		require.NoError(t, source.read(ctx))
-		time.Sleep(timing.Oldest.Duration() + time.Second)
+		time.Sleep(timing.MaxAge.Duration() + time.Second)
 		table.put("2", "ready")
 		require.NoError(t, follower.read(ctx))
 		require.Equal(t, "ready", follower.known["2"], "the source's reading is too old")
 	})
 }
 
-// TestSourceThatKnowsNothingSaysSo checks that nobody takes an empty list from a process that
+// TestSourceUnavailableBeforeFirstReading checks that nobody takes an empty list from a process that
 // hasn't read one.
-func TestSourceThatKnowsNothingSaysSo(t *testing.T) {
+func TestSourceUnavailableBeforeFirstReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
 		_, err := newReader(clock, newList(clock)).News(context.Background(), 0)
--- a/internal/operators/reader/reader.go
+++ b/internal/operators/reader/reader.go
@@ -20,20 +20,20 @@
 	Pause cottonlanding.Millis
 }
 
-// Taker takes in what is read, one reading after the other.
-type Taker func(news cottonlanding.FeedReading)
+// Consumer takes in what is read, one reading after the other.
+type Consumer func(reading cottonlanding.FeedReading)
 
 // Reader follows the table and hands each reading to all takers.
 type Reader struct {
-	feed   cottonlanding.Feed
-	timing Timing
-	log    *slog.Logger
-	takers []Taker
+	feed      cottonlanding.Feed
+	timing    Timing
+	log       *slog.Logger
+	consumers []Consumer
 }
 
 // New starts to follow the table until ctx ends.
-func New(ctx context.Context, feed cottonlanding.Feed, timing Timing, log *slog.Logger, takers ...Taker) *Reader {
-	r := &Reader{feed: feed, timing: timing, log: log, takers: takers}
+func New(ctx context.Context, feed cottonlanding.Feed, timing Timing, log *slog.Logger, consumers ...Consumer) *Reader {
+	r := &Reader{feed: feed, timing: timing, log: log, consumers: consumers}
 	go r.run(ctx)
 	return r
 }
@@ -41,7 +41,7 @@
 func (r *Reader) run(ctx context.Context) {
 	version := cottonlanding.Version(0)
 	for ctx.Err() == nil {
-		next, err := r.step(ctx, version)
+		next, err := r.readOnce(ctx, version)
 		switch {
 		case errors.Is(err, cottonlanding.ErrHistoryGone):
 			r.log.Info("operators' table is read again", "After", version)
@@ -59,17 +59,17 @@
 	}
 }
 
-// step reads the whole table if the version is zero, else what changed after it, and returns
+// readOnce reads the whole table if the version is zero, else what changed after it, and returns
 // the version from which to go on.
-func (r *Reader) step(ctx context.Context, version cottonlanding.Version) (cottonlanding.Version, error) {
+func (r *Reader) readOnce(ctx context.Context, version cottonlanding.Version) (cottonlanding.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.timing.Timeout.Duration())
 	defer cancel()
-	news, err := r.feed.Read(ctx, version, r.timing.Wait)
+	reading, err := r.feed.Read(ctx, version, r.timing.Wait)
 	if err != nil {
 		return 0, err
 	}
-	for _, take := range r.takers {
-		take(news)
+	for _, consume := range r.consumers {
+		consume(reading)
 	}
-	return news.Version, nil
+	return reading.Version, nil
 }
--- a/internal/operators/reader/reader_test.go
+++ b/internal/operators/reader/reader_test.go
@@ -21,74 +21,74 @@
 type answer struct {
 	version cottonlanding.Version
 	err     error
-	after   time.Duration
+	delay   time.Duration
 }
 
-// scripted is a feed that gives its answers one after the other, and none after the last.
-type scripted struct {
-	began   time.Time
-	answers []answer
-	asked   []cottonlanding.Version
-	at      []time.Duration
+// scriptedFeed is a feed that gives its answers one after the other, and none after the last.
+type scriptedFeed struct {
+	startedAt   time.Time
+	answers     []answer
+	requested   []cottonlanding.Version
+	requestedAt []time.Duration
 }
 
-func (s *scripted) Read(ctx context.Context, version cottonlanding.Version, _ cottonlanding.Millis) (cottonlanding.FeedReading, error) {
+func (s *scriptedFeed) Read(ctx context.Context, version cottonlanding.Version, _ cottonlanding.Millis) (cottonlanding.FeedReading, error) {
 	if len(s.answers) == 0 {
 		<-ctx.Done()
 		return cottonlanding.FeedReading{}, ctx.Err()
 	}
-	s.asked, s.at = append(s.asked, version), append(s.at, time.Since(s.began))
+	s.requested, s.requestedAt = append(s.requested, version), append(s.requestedAt, time.Since(s.startedAt))
 	next := s.answers[0]
 	s.answers = s.answers[1:]
 	select {
-	case <-time.After(next.after):
+	case <-time.After(next.delay):
 		return cottonlanding.FeedReading{Version: next.version}, next.err
 	case <-ctx.Done():
 		return cottonlanding.FeedReading{}, ctx.Err()
 	}
 }
 
-// TestReaderGoesOnOrBeginsAnew: a reading goes on from the last one; after a lost history the
+// TestReaderResumesOrRestarts: a reading goes on from the last one; after a lost history the
 // whole table is read at once, after a failed call or one without an answer following a pause.
-func TestReaderGoesOnOrBeginsAnew(t *testing.T) {
+func TestReaderResumesOrRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		feed := &scripted{began: time.Now(), answers: []answer{
+		feed := &scriptedFeed{startedAt: time.Now(), answers: []answer{
 			{version: 3},
-			{version: 5, after: time.Second},
+			{version: 5, delay: time.Second},
 			{err: cottonlanding.ErrHistoryGone},
 			{version: 6},
 			{err: errors.New("down")},
 			{version: 7},
-			{after: time.Minute},
+			{delay: time.Minute},
 			{version: 8},
 		}}
 		var first, second []cottonlanding.Version
 		ctx, cancel := context.WithCancel(t.Context())
 		reader.New(ctx, feed, timing, slog.New(slog.NewTextHandler(io.Discard, nil)),
-			func(news cottonlanding.FeedReading) { first = append(first, news.Version) },
-			func(news cottonlanding.FeedReading) { second = append(second, news.Version) })
+			func(reading cottonlanding.FeedReading) { first = append(first, reading.Version) },
+			func(reading cottonlanding.FeedReading) { second = append(second, reading.Version) })
 		time.Sleep(4 * time.Second)
 		cancel()
 		synctest.Wait()
 		require.Equal(t, []cottonlanding.Version{3, 5, 6, 7, 8}, first)
 		require.Equal(t, first, second, "each taker takes in each reading")
-		require.Equal(t, []cottonlanding.Version{0, 3, 5, 0, 6, 0, 7, 0}, feed.asked)
+		require.Equal(t, []cottonlanding.Version{0, 3, 5, 0, 6, 0, 7, 0}, feed.requested)
 		ms := time.Millisecond
-		require.Equal(t, []time.Duration{0, 0, 1000 * ms, 1000 * ms, 1000 * ms, 1200 * ms, 1200 * ms, 3400 * ms}, feed.at)
+		require.Equal(t, []time.Duration{0, 0, 1000 * ms, 1000 * ms, 1000 * ms, 1200 * ms, 1200 * ms, 3400 * ms}, feed.requestedAt)
 	})
 }
 
-// TestEmptyTableIsNotReadInALoop checks that a table to which nothing was written yet, which has no
+// TestEmptyTablePolledAtIntervals checks that a table to which nothing was written yet, which has no
 // version to wait after, is read after pauses. All hosts of a deployment start with one.
-func TestEmptyTableIsNotReadInALoop(t *testing.T) {
+func TestEmptyTablePolledAtIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		feed := &scripted{began: time.Now(), answers: []answer{{}, {}, {version: 3}}}
+		feed := &scriptedFeed{startedAt: time.Now(), answers: []answer{{}, {}, {version: 3}}}
 		ctx, cancel := context.WithCancel(t.Context())
 		reader.New(ctx, feed, timing, slog.New(slog.DiscardHandler))
 		time.Sleep(time.Second)
 		cancel()
 		synctest.Wait()
 		ms := time.Millisecond
-		require.Equal(t, []time.Duration{0, 200 * ms, 400 * ms}, feed.at)
+		require.Equal(t, []time.Duration{0, 200 * ms, 400 * ms}, feed.requestedAt)
 	})
 }
--- a/internal/operators/recorder/recorder.go
+++ b/internal/operators/recorder/recorder.go
@@ -42,16 +42,16 @@
 	return r.current
 }
 
-// Take takes in a reading of the operators' table.
-func (r *Recorder) Take(news cottonlanding.FeedReading) {
+// Apply takes in a reading of the operators' table.
+func (r *Recorder) Apply(reading cottonlanding.FeedReading) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ordered := maps.Clone(r.current.InForce)
-	if ordered == nil {
-		ordered = make(map[cottonlanding.DataCentre]cottonlanding.Evacuation)
+	inForce := maps.Clone(r.current.InForce)
+	if inForce == nil {
+		inForce = make(map[cottonlanding.DataCentre]cottonlanding.Evacuation)
 	}
-	named := make(map[cottonlanding.DataCentre]bool)
-	for _, row := range news.Rows {
+	present := make(map[cottonlanding.DataCentre]bool)
+	for _, row := range reading.Rows {
 		name, found := strings.CutPrefix(row.Key, r.prefix)
 		if !found {
 			continue
@@ -61,36 +61,36 @@
 			continue
 		}
 		dataCentre := cottonlanding.DataCentre(name)
-		named[dataCentre] = true
-		r.note(ordered, dataCentre, row.Version, !row.Deleted)
+		present[dataCentre] = true
+		r.set(inForce, dataCentre, row.Version, !row.Deleted)
 	}
-	if news.Whole {
+	if reading.Whole {
 		for dataCentre := range r.current.InForce {
-			if !named[dataCentre] {
-				r.note(ordered, dataCentre, news.Version, false)
+			if !present[dataCentre] {
+				r.set(inForce, dataCentre, reading.Version, false)
 			}
 		}
 	}
-	r.current = cottonlanding.Evacuations{ReadAt: max(r.current.ReadAt, news.At), InForce: ordered}
+	r.current = cottonlanding.Evacuations{ReadAt: max(r.current.ReadAt, reading.At), InForce: inForce}
 }
 
-// note takes in whether a data centre is evacuated as of a version.
-func (r *Recorder) note(ordered map[cottonlanding.DataCentre]cottonlanding.Evacuation, dataCentre cottonlanding.DataCentre, version cottonlanding.Version, evacuated bool) {
+// set takes in whether a data centre is evacuated as of a version.
+func (r *Recorder) set(inForce map[cottonlanding.DataCentre]cottonlanding.Evacuation, dataCentre cottonlanding.DataCentre, version cottonlanding.Version, evacuated bool) {
 	if version < r.versions[dataCentre] {
 		return
 	}
 	r.versions[dataCentre] = version
-	known, before := ordered[dataCentre]
+	last, found := inForce[dataCentre]
 	if !evacuated {
-		delete(ordered, dataCentre)
-		if before {
-			r.log.Info("evacuation over", "DataCentre", dataCentre, "Version", version, "KnownFor", r.clock.Now()-known.KnownAt)
+		delete(inForce, dataCentre)
+		if found {
+			r.log.Info("evacuation over", "DataCentre", dataCentre, "Version", version, "KnownFor", r.clock.Now()-last.KnownAt)
 		}
 		return
 	}
-	if before && known.Version == version {
+	if found && last.Version == version {
 		return
 	}
-	ordered[dataCentre] = cottonlanding.Evacuation{DataCentre: dataCentre, Version: version, KnownAt: r.clock.Now()}
+	inForce[dataCentre] = cottonlanding.Evacuation{DataCentre: dataCentre, Version: version, KnownAt: r.clock.Now()}
 	r.log.Info("evacuation known", "DataCentre", dataCentre, "Version", version)
 }
--- a/internal/operators/recorder/recorder_test.go
+++ b/internal/operators/recorder/recorder_test.go
@@ -18,11 +18,11 @@
 	return recorder.New("out/", clock, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func ordered(key string, version cottonlanding.Version) cottonlanding.FeedRow {
+func evacuationRow(key string, version cottonlanding.Version) cottonlanding.FeedRow {
 	return cottonlanding.FeedRow{Key: key, Version: version}
 }
 
-func takenBack(key string, version cottonlanding.Version) cottonlanding.FeedRow {
+func removedRow(key string, version cottonlanding.Version) cottonlanding.FeedRow {
 	return cottonlanding.FeedRow{Key: key, Version: version, Deleted: true}
 }
 
@@ -37,33 +37,33 @@
 
 type inForce = map[cottonlanding.DataCentre]cottonlanding.Version
 
-// TestRowsOrderEvacuations: a row orders, its removal takes back, and what is no data centre's
+// TestRowsSetEvacuations: a row orders, its removal takes back, and what is no data centre's
 // hides no other. What a whole reading lacks was taken back.
-func TestRowsOrderEvacuations(t *testing.T) {
+func TestRowsSetEvacuations(t *testing.T) {
 	r := newRecorder()
 	require.Zero(t, r.Current().ReadAt)
-	r.Take(cottonlanding.FeedReading{
-		Rows: []cottonlanding.FeedRow{ordered("out/", 2), ordered("outside", 2), ordered("out/x", 2), ordered("out/y", 3)},
+	r.Apply(cottonlanding.FeedReading{
+		Rows: []cottonlanding.FeedRow{evacuationRow("out/", 2), evacuationRow("outside", 2), evacuationRow("out/x", 2), evacuationRow("out/y", 3)},
 		At:   5, Version: 3, Whole: true,
 	})
 	require.Equal(t, inForce{"x": 2, "y": 3}, versions(r))
 	require.Equal(t, cottonlanding.Evacuation{DataCentre: "x", Version: 2, KnownAt: now}, r.Current().InForce["x"])
-	r.Take(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{takenBack("out/x", 4)}, Version: 4})
+	r.Apply(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{removedRow("out/x", 4)}, Version: 4})
 	require.Equal(t, inForce{"y": 3}, versions(r))
 	require.Equal(t, cottonlanding.Millis(5), r.Current().ReadAt, "there may have been more to read")
-	r.Take(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{ordered("out/x", 6)}, At: 9, Version: 6})
+	r.Apply(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{evacuationRow("out/x", 6)}, At: 9, Version: 6})
 	require.Equal(t, inForce{"x": 6, "y": 3}, versions(r), "it is another one")
-	r.Take(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{ordered("out/x", 6)}, At: 12, Version: 8, Whole: true})
+	r.Apply(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{evacuationRow("out/x", 6)}, At: 12, Version: 8, Whole: true})
 	require.Equal(t, inForce{"x": 6}, versions(r))
 	require.Equal(t, cottonlanding.Millis(12), r.Current().ReadAt)
 }
 
-// TestOlderReadingsChangeNothing: a reading may tell what was before the newest that is known.
-func TestOlderReadingsChangeNothing(t *testing.T) {
+// TestOlderReadingsIgnored: a reading may tell what was before the newest that is known.
+func TestOlderReadingsIgnored(t *testing.T) {
 	r := newRecorder()
-	r.Take(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{ordered("out/x", 8), takenBack("out/y", 9)}, At: 20, Version: 9})
-	held := r.Current()
-	r.Take(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{ordered("out/y", 4)}, At: 10, Version: 7, Whole: true})
+	r.Apply(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{evacuationRow("out/x", 8), removedRow("out/y", 9)}, At: 20, Version: 9})
+	before := r.Current()
+	r.Apply(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{evacuationRow("out/y", 4)}, At: 10, Version: 7, Whole: true})
 	require.Equal(t, inForce{"x": 8}, versions(r))
-	require.Equal(t, held, r.Current())
+	require.Equal(t, before, r.Current())
 }
--- a/internal/operators/sharer/golden_test.go
+++ b/internal/operators/sharer/golden_test.go
@@ -30,11 +30,11 @@
 
 	golden, err := os.ReadFile("testdata/golden/Copy.txt")
 	require.NoError(t, err)
-	kept, err := strconv.Unquote(strings.TrimSpace(string(golden)))
+	encoded, err := strconv.Unquote(strings.TrimSpace(string(golden)))
 	require.NoError(t, err)
 	var repacked bytes.Buffer
 	packer := gzip.NewWriter(&repacked)
-	_, err = packer.Write([]byte(kept))
+	_, err = packer.Write([]byte(encoded))
 	require.NoError(t, err)
 	require.NoError(t, packer.Close())
 	read, err := sharer.Unpack(repacked.Bytes())
--- a/internal/operators/sharer/sharer.go
+++ b/internal/operators/sharer/sharer.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	// writeGap is the shortest time between two copies: of changes in quick succession most are
+	// writeInterval is the shortest time between two copies: of changes in quick succession most are
 	// out of date before all hosts have read them.
-	writeGap = 250 * cottonlanding.Millis(1)
+	writeInterval = 250 * cottonlanding.Millis(1)
 	// writeTimeout bounds the write of a copy.
 	writeTimeout = cottonlanding.Second
 )
@@ -46,25 +46,25 @@
 	Watcher Watcher
 	Clock   cottonlanding.Clock
 	Log     *slog.Logger
-	// Writes reports whether this host writes copies, Waits whether it waits for them.
-	Writes func() bool
-	Waits  func() bool
+	// WritesCopies reports whether this host writes copies, Waits whether it waits for them.
+	WritesCopies func() bool
+	AwaitsCopies func() bool
 }
 
 // Sharer reads the operators' table, or a copy of it. It implements cottonlanding.Feed for one
 // reader at a time.
 type Sharer struct {
 	deps Dependencies
-	// came holds a signal when there is another copy, changed when there is something to copy.
-	came    waker.Waker
-	changed waker.Waker
+	// copyArrived holds a signal when there is another copy, changed when there is something to copy.
+	copyArrived  waker.Waker
+	tableChanged waker.Waker
 
 	// The fields below belong to the reader's goroutine.
-	// lookedAt is when this host last looked at the table itself.
-	lookedAt cottonlanding.Millis
+	// tableReadAt is when this host last looked at the table itself.
+	tableReadAt cottonlanding.Millis
 	// newest is the newest copy that could be read, from row version newestRow on.
-	newest    tableCopy
-	newestRow cottonlanding.Version
+	newest           tableCopy
+	newestRowVersion cottonlanding.Version
 
 	mu      sync.Mutex
 	rows    map[string]cottonlanding.FeedRow
@@ -74,28 +74,28 @@
 
 // Counts counts what a sharer has read and written.
 type Counts struct {
-	// Copies counts the copies that told something new, Looks the readings of the table itself,
-	// News those of them that told something new.
-	Copies, Looks, News int
-	// Written counts the copies that this host wrote.
-	Written int
+	// CopiesRead counts the copies that told something new, TableReads the readings of the table itself,
+	// TableReadsWithChanges those of them that told something new.
+	CopiesRead, TableReads, TableReadsWithChanges int
+	// CopiesWritten counts the copies that this host wrote.
+	CopiesWritten int
 }
 
 // New returns a sharer that writes copies until ctx ends.
 func New(ctx context.Context, deps Dependencies) *Sharer {
 	s := &Sharer{
-		deps:    deps,
-		came:    waker.New(),
-		changed: waker.New(),
-		rows:    make(map[string]cottonlanding.FeedRow),
+		deps:         deps,
+		copyArrived:  waker.New(),
+		tableChanged: waker.New(),
+		rows:         make(map[string]cottonlanding.FeedRow),
 	}
-	deps.Watcher.Listen(deps.Key, s.came.Wake)
+	deps.Watcher.Listen(deps.Key, s.copyArrived.Wake)
 	go func() {
 		for ctx.Err() == nil {
 			select {
-			case <-s.changed:
+			case <-s.tableChanged:
 				s.write(ctx)
-				pauser.Pause(ctx, writeGap)
+				pauser.Pause(ctx, writeInterval)
 			case <-ctx.Done():
 			}
 		}
@@ -105,26 +105,26 @@
 
 // Read implements cottonlanding.Feed. What isn't known at all is read from the table.
 func (s *Sharer) Read(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
-	if version > 0 && s.deps.Waits() {
-		if s.await(ctx, version, wait) {
-			news := s.newest.reading()
-			s.note(news)
-			s.count(func(c *Counts) { c.Copies++ })
-			return news, nil
+	if version > 0 && s.deps.AwaitsCopies() {
+		if s.awaitCopy(ctx, version, wait) {
+			reading := s.newest.asReading()
+			s.apply(reading)
+			s.count(func(c *Counts) { c.CopiesRead++ })
+			return reading, nil
 		}
 		wait = 0
 	}
-	s.lookedAt = s.deps.Clock.Now()
-	news, err := s.deps.Feed.Read(ctx, version, wait)
+	s.tableReadAt = s.deps.Clock.Now()
+	reading, err := s.deps.Feed.Read(ctx, version, wait)
 	if err != nil {
 		return cottonlanding.FeedReading{}, err
 	}
-	s.note(news)
+	s.apply(reading)
 	s.count(func(c *Counts) {
-		c.Looks++
-		c.News += min(1, len(news.Rows))
+		c.TableReads++
+		c.TableReadsWithChanges += min(1, len(reading.Rows))
 	})
-	return news, nil
+	return reading, nil
 }
 
 // Counts returns what was counted so far.
@@ -140,23 +140,23 @@
 	add(&s.counts)
 }
 
-// await waits for a copy that is newer than version, until the next look is due. It reports
+// awaitCopy waits for a copy that is newer than version, until the next look is due. It reports
 // whether there is one.
-func (s *Sharer) await(ctx context.Context, version cottonlanding.Version, lookEvery cottonlanding.Millis) bool {
-	left := s.lookedAt + lookEvery - s.deps.Clock.Now()
-	if left <= 0 {
+func (s *Sharer) awaitCopy(ctx context.Context, version cottonlanding.Version, interval cottonlanding.Millis) bool {
+	remaining := s.tableReadAt + interval - s.deps.Clock.Now()
+	if remaining <= 0 {
 		return false
 	}
-	due := time.NewTimer(left.Duration())
-	defer due.Stop()
+	timer := time.NewTimer(remaining.Duration())
+	defer timer.Stop()
 	for {
 		select {
-		case <-s.came:
-			s.takeCopy()
+		case <-s.copyArrived:
+			s.loadCopy()
 			if s.newest.Version > version {
 				return true
 			}
-		case <-due.C:
+		case <-timer.C:
 			return false
 		case <-ctx.Done():
 			return false
@@ -164,13 +164,13 @@
 	}
 }
 
-// takeCopy takes in the copy that was last written. One that can't be read changes nothing.
-func (s *Sharer) takeCopy() {
+// loadCopy takes in the copy that was last written. One that can't be read changes nothing.
+func (s *Sharer) loadCopy() {
 	row, _ := s.deps.Watcher.Row(s.deps.Key)
-	if row.Version <= s.newestRow {
+	if row.Version <= s.newestRowVersion {
 		return
 	}
-	s.newestRow = row.Version
+	s.newestRowVersion = row.Version
 	next, err := unpack(row.Value)
 	if err != nil {
 		s.deps.Log.Error("copy of the operators' table refused", "Version", row.Version, "Error", err)
@@ -181,28 +181,28 @@
 	}
 }
 
-// note takes in a reading, and has it copied if that is this host's part.
-func (s *Sharer) note(news cottonlanding.FeedReading) {
+// apply takes in a reading, and has it copied if that is this host's part.
+func (s *Sharer) apply(reading cottonlanding.FeedReading) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if news.Whole {
+	if reading.Whole {
 		clear(s.rows)
 	}
-	for _, row := range news.Rows {
+	for _, row := range reading.Rows {
 		if row.Deleted {
 			delete(s.rows, row.Key)
 			continue
 		}
 		s.rows[row.Key] = row
 	}
-	s.version = news.Version
-	if len(news.Rows) > 0 && s.deps.Writes() {
-		s.changed.Wake()
+	s.version = reading.Version
+	if len(reading.Rows) > 0 && s.deps.WritesCopies() {
+		s.tableChanged.Wake()
 	}
 }
 
-// copyNow returns a copy of the table as it is known.
-func (s *Sharer) copyNow() tableCopy {
+// currentCopy returns a copy of the table as it is known.
+func (s *Sharer) currentCopy() tableCopy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := tableCopy{Version: s.version}
@@ -214,7 +214,7 @@
 
 // write writes a copy. After a failure hosts look for themselves.
 func (s *Sharer) write(ctx context.Context) {
-	next := s.copyNow()
+	next := s.currentCopy()
 	packed, err := next.pack()
 	if err != nil {
 		s.deps.Log.Warn("operators' table isn't copied", "Version", next.Version, "Error", err)
@@ -231,6 +231,6 @@
 		s.deps.Log.Warn("operators' table isn't copied", "Version", next.Version, "Error", err)
 		return
 	}
-	s.count(func(c *Counts) { c.Written++ })
+	s.count(func(c *Counts) { c.CopiesWritten++ })
 	s.deps.Log.Info("operators' table copied", "Version", next.Version, "Bytes", len(packed))
 }
--- a/internal/operators/sharer/sharer_test.go
+++ b/internal/operators/sharer/sharer_test.go
@@ -28,20 +28,20 @@
 
 const (
 	copyKey cottonlanding.Key = "Test:" + cottonlanding.WatchedPrefix + "Operators"
-	// callTakes is how long a call of the table takes, startGap lies between two starts of hosts.
-	callTakes = 4 * time.Millisecond
-	startGap  = 37 * time.Millisecond
+	// callDuration is how long a call of the table takes, startGap lies between two starts of hosts.
+	callDuration  = 4 * time.Millisecond
+	startInterval = 37 * time.Millisecond
 	// configurationLength is that of a row that operators write.
 	configurationLength = 42_000
 )
 
 // operators is the table that operators write to. It counts the bytes of its answers.
 type operators struct {
-	mu      sync.Mutex
-	rows    map[string]cottonlanding.FeedRow
-	version cottonlanding.Version
-	changed chan struct{}
-	told    atomic.Int64
+	mu        sync.Mutex
+	rows      map[string]cottonlanding.FeedRow
+	version   cottonlanding.Version
+	changed   chan struct{}
+	bytesRead atomic.Int64
 }
 
 func newOperators() *operators {
@@ -58,36 +58,36 @@
 }
 
 func (o *operators) Read(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
-	time.Sleep(callTakes)
+	time.Sleep(callDuration)
 	timer := time.NewTimer(wait.Duration())
 	defer timer.Stop()
-	news, changed := o.after(version)
-	if len(news.Rows) == 0 && version > 0 {
+	reading, changed := o.changesAfter(version)
+	if len(reading.Rows) == 0 && version > 0 {
 		select {
 		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
 			return cottonlanding.FeedReading{}, ctx.Err()
 		}
-		news, _ = o.after(version)
+		reading, _ = o.changesAfter(version)
 	}
-	for _, row := range news.Rows {
-		o.told.Add(int64(len(row.Value)))
+	for _, row := range reading.Rows {
+		o.bytesRead.Add(int64(len(row.Value)))
 	}
-	return news, nil
+	return reading, nil
 }
 
-func (o *operators) after(version cottonlanding.Version) (cottonlanding.FeedReading, chan struct{}) {
+func (o *operators) changesAfter(version cottonlanding.Version) (cottonlanding.FeedReading, chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	news := cottonlanding.FeedReading{Whole: version == 0, Version: o.version}
+	reading := cottonlanding.FeedReading{Whole: version == 0, Version: o.version}
 	for _, key := range slices.Sorted(maps.Keys(o.rows)) {
 		row := o.rows[key]
 		if row.Version > version && (version > 0 || !row.Deleted) {
-			news.Rows = append(news.Rows, row)
+			reading.Rows = append(reading.Rows, row)
 		}
 	}
-	return news, o.changed
+	return reading, o.changed
 }
 
 // host is what one host knows of the operators' table.
@@ -97,19 +97,19 @@
 	version cottonlanding.Version
 }
 
-func (h *host) take(news cottonlanding.FeedReading) {
+func (h *host) apply(reading cottonlanding.FeedReading) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if news.Whole {
+	if reading.Whole {
 		clear(h.rows)
 	}
-	for _, row := range news.Rows {
+	for _, row := range reading.Rows {
 		h.rows[row.Key] = row
 		if row.Deleted {
 			delete(h.rows, row.Key)
 		}
 	}
-	h.version = news.Version
+	h.version = reading.Version
 }
 
 func (h *host) row(key string) []byte {
@@ -120,59 +120,59 @@
 
 // fleet is some hosts, of which the first writes copies while leads is true.
 type fleet struct {
-	clock     cottonlanding.Clock
-	operators *operators
-	table     *keeper.Keeper
-	hosts     []*host
-	leads     atomic.Bool
-	log       bytes.Buffer
+	clock       cottonlanding.Clock
+	operators   *operators
+	table       *keeper.Keeper
+	hosts       []*host
+	firstWrites atomic.Bool
+	log         bytes.Buffer
 }
 
-// play starts count hosts and lets them settle; with shares they read copies.
-func play(t *testing.T, count int, shares bool, test func(f *fleet)) {
+// simulate starts count hosts and lets them settle; with shares they read copies.
+func simulate(t *testing.T, count int, useCopies bool, test func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &fleet{clock: cottonlanding.NewClock(), operators: newOperators(), table: keeper.New()}
-		f.leads.Store(true)
-		f.operators.write("config", configurationOf(0, configurationLength))
-		var rolls []*holder.Watcher
+		f.firstWrites.Store(true)
+		f.operators.write("config", newConfiguration(0, configurationLength))
+		var watchers []*holder.Watcher
 		for number := range count {
-			roll := holder.NewWatcher(f.table.Watched(f.clock), f.clock, slog.New(slog.DiscardHandler), 150)
-			rolls = append(rolls, roll)
-			f.start(ctx, number, roll, shares)
-			time.Sleep(startGap)
+			watcher := holder.NewWatcher(f.table.Watched(f.clock), f.clock, slog.New(slog.DiscardHandler), 150)
+			watchers = append(watchers, watcher)
+			f.start(ctx, number, watcher, useCopies)
+			time.Sleep(startInterval)
 		}
 		time.Sleep(5 * time.Second)
 		test(f)
 		cancel()
-		for _, roll := range rolls {
-			roll.Close()
+		for _, watcher := range watchers {
+			watcher.Close()
 		}
 		time.Sleep(time.Second) // calls under way end
 	})
 }
 
-func (f *fleet) start(ctx context.Context, number int, roll *holder.Watcher, shares bool) {
+func (f *fleet) start(ctx context.Context, number int, watcher *holder.Watcher, useCopies bool) {
 	log := slog.New(slog.NewTextHandler(&f.log, nil))
 	if number > 0 {
 		log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
 	var feed cottonlanding.Feed = f.operators
-	if shares {
+	if useCopies {
 		feed = sharer.New(ctx, sharer.Dependencies{
-			Feed:    f.operators,
-			Table:   f.table,
-			Key:     copyKey,
-			Watcher: roll,
-			Clock:   f.clock,
-			Log:     log,
-			Writes:  func() bool { return number == 0 && f.leads.Load() },
-			Waits:   func() bool { return number > 0 },
+			Feed:         f.operators,
+			Table:        f.table,
+			Key:          copyKey,
+			Watcher:      watcher,
+			Clock:        f.clock,
+			Log:          log,
+			WritesCopies: func() bool { return number == 0 && f.firstWrites.Load() },
+			AwaitsCopies: func() bool { return number > 0 },
 		})
 	}
 	h := &host{rows: make(map[string]cottonlanding.FeedRow)}
 	f.hosts = append(f.hosts, h)
-	reader.New(ctx, feed, timing, log, h.take)
+	reader.New(ctx, feed, timing, log, h.apply)
 }
 
 // requireAll checks what all hosts know.
@@ -183,53 +183,53 @@
 	}
 }
 
-// configurationOf returns a row of operators, which repeats itself as theirs do.
-func configurationOf(number, length int) []byte {
+// newConfiguration returns a row of operators, which repeats itself as theirs do.
+func newConfiguration(number, length int) []byte {
 	line := fmt.Sprintf(`{"name":"queue-%d","backend":"service","timeoutMs":3000},`, number)
 	return bytes.Repeat([]byte(line), length/len(line)+1)
 }
 
-// TestChangeIsReadByFewHosts checks that what a change costs at the operators' table doesn't grow
+// TestChangeReadByFewHosts checks that what a change costs at the operators' table doesn't grow
 // with the hosts, but for the looks that fall between the change and its copy.
-func TestChangeIsReadByFewHosts(t *testing.T) {
+func TestChangeReadByFewHosts(t *testing.T) {
 	for _, count := range []int{20, 80} {
-		require.Less(t, readingsOfChange(t, count, true), 2+float64(count)/20, "%d hosts", count)
+		require.Less(t, readsPerChange(t, count, true), 2+float64(count)/20, "%d hosts", count)
 	}
-	require.GreaterOrEqual(t, readingsOfChange(t, 20, false), 20.0, "without copies each host reads each change")
+	require.GreaterOrEqual(t, readsPerChange(t, 20, false), 20.0, "without copies each host reads each change")
 }
 
-// readingsOfChange returns how often a change is read from the operators' table.
-func readingsOfChange(t *testing.T, count int, shares bool) float64 {
+// readsPerChange returns how often a change is read from the operators' table.
+func readsPerChange(t *testing.T, count int, useCopies bool) float64 {
 	const changes = 10
-	var bytesTold int64
-	play(t, count, shares, func(f *fleet) {
-		before := f.operators.told.Load()
+	var total int64
+	simulate(t, count, useCopies, func(f *fleet) {
+		before := f.operators.bytesRead.Load()
 		for number := range changes {
-			f.operators.write("config", configurationOf(number+1, configurationLength))
+			f.operators.write("config", newConfiguration(number+1, configurationLength))
 			time.Sleep(1234 * time.Millisecond)
-			f.requireAll(t, "config", configurationOf(number+1, configurationLength))
+			f.requireAll(t, "config", newConfiguration(number+1, configurationLength))
 		}
-		bytesTold = f.operators.told.Load() - before
+		total = f.operators.bytesRead.Load() - before
 	})
-	return float64(bytesTold) / configurationLength / changes
+	return float64(total) / configurationLength / changes
 }
 
-// TestChangeIsKnownWithoutCopies checks that hosts know a change by their next look, where nobody
+// TestHostsReadTableWhenCopiesStop checks that hosts know a change by their next look, where nobody
 // copies it.
-func TestChangeIsKnownWithoutCopies(t *testing.T) {
-	play(t, 12, true, func(f *fleet) {
-		f.leads.Store(false)
+func TestHostsReadTableWhenCopiesStop(t *testing.T) {
+	simulate(t, 12, true, func(f *fleet) {
+		f.firstWrites.Store(false)
 		f.operators.write("config", []byte("new"))
-		time.Sleep(timing.Wait.Duration() + 2*callTakes)
+		time.Sleep(timing.Wait.Duration() + 2*callDuration)
 		f.requireAll(t, "config", []byte("new"))
 	})
 }
 
-// TestSourceThatIsBehindDelaysNothing checks that hosts look for themselves though copies that are
+// TestStaleAndBrokenCopiesIgnored checks that hosts look for themselves though copies that are
 // old or broken go on to come, and that those take nothing back.
-func TestSourceThatIsBehindDelaysNothing(t *testing.T) {
-	play(t, 12, true, func(f *fleet) {
-		f.leads.Store(false)
+func TestStaleAndBrokenCopiesIgnored(t *testing.T) {
+	simulate(t, 12, true, func(f *fleet) {
+		f.firstWrites.Store(false)
 		old := f.copy(t).Value
 		f.operators.write("config", []byte("new"))
 		for range 4 {
@@ -238,7 +238,7 @@
 			f.writeCopy(t, old)
 			time.Sleep(timing.Wait.Duration() / 8)
 		}
-		time.Sleep(2 * callTakes)
+		time.Sleep(2 * callDuration)
 		f.requireAll(t, "config", []byte("new"))
 		f.writeCopy(t, old)
 		time.Sleep(100 * time.Millisecond)
@@ -263,23 +263,23 @@
 	require.NoError(t, err)
 }
 
-// TestRemovedRowsAreCopied checks that a row that operators remove, and one that they write beside
+// TestCopiesCarryRemovals checks that a row that operators remove, and one that they write beside
 // others, are known everywhere by the copy.
-func TestRemovedRowsAreCopied(t *testing.T) {
-	play(t, 12, true, func(f *fleet) {
+func TestCopiesCarryRemovals(t *testing.T) {
+	simulate(t, 12, true, func(f *fleet) {
 		f.operators.write("evacuate/hall", []byte("{}"))
 		time.Sleep(2 * time.Second)
 		f.requireAll(t, "evacuate/hall", []byte("{}"))
 		f.operators.write("evacuate/hall", nil)
 		time.Sleep(2 * time.Second)
 		f.requireAll(t, "evacuate/hall", nil)
-		f.requireAll(t, "config", configurationOf(0, configurationLength))
+		f.requireAll(t, "config", newConfiguration(0, configurationLength))
 	})
 }
 
-// TestLongTableIsNotCopied checks that hosts read a table for themselves that fits into no row.
-func TestLongTableIsNotCopied(t *testing.T) {
-	play(t, 4, true, func(f *fleet) {
+// TestOversizedTableReadDirectly checks that hosts read a table for themselves that fits into no row.
+func TestOversizedTableReadDirectly(t *testing.T) {
+	simulate(t, 4, true, func(f *fleet) {
 		long := make([]byte, 100_000)
 		_, _ = rand.New(rand.NewSource(1)).Read(long) // it never fails
 		f.operators.write("config", long)
--- a/internal/workflow/gateway/golden_test.go
+++ b/internal/workflow/gateway/golden_test.go
@@ -25,7 +25,7 @@
 
 // TestGoldenRelayedList guards against a list of workers that a host of another version reads as something else.
 func TestGoldenRelayedList(t *testing.T) {
-	answer := relayer.Answer{
+	answer := relayer.Response{
 		News: cottonlanding.FeedReading{
 			Rows:  []cottonlanding.FeedRow{{Key: "text1", Value: []byte("text2"), Version: 3, Deleted: true}},
 			Whole: true, Version: 4,
--- a/internal/workflow/gateway/lists.go
+++ b/internal/workflow/gateway/lists.go
@@ -35,24 +35,24 @@
 }
 
 // News implements relayer.Source.
-func (p peerSource) News(ctx context.Context, after cottonlanding.Version) (relayer.Answer, error) {
+func (p peerSource) News(ctx context.Context, after cottonlanding.Version) (relayer.Response, error) {
 	connection, err := p.messenger.Connection(p.address)
 	if err != nil {
-		return relayer.Answer{}, err
+		return relayer.Response{}, err
 	}
 	answer, err := wire.NewListsClient(connection).News(ctx, &wire.ListQuestion{After: uint64(after)})
 	if err != nil {
 		p.messenger.Drop(p.address, connection)
-		return relayer.Answer{}, messenger.Error(err)
+		return relayer.Response{}, messenger.Error(err)
 	}
 	if err := messenger.ErrorOf(answer.GetCode(), answer.GetDetail()); err != nil {
-		return relayer.Answer{}, err
+		return relayer.Response{}, err
 	}
 	return answerFromWire(answer), nil
 }
 
-func answerFromWire(answer *wire.ListAnswer) relayer.Answer {
-	out := relayer.Answer{
+func answerFromWire(answer *wire.ListAnswer) relayer.Response {
+	out := relayer.Response{
 		News: cottonlanding.FeedReading{Whole: answer.GetWhole(), Version: cottonlanding.Version(answer.GetVersion())},
 		Age:  cottonlanding.Millis(answer.GetAgeMs()),
 	}
@@ -67,7 +67,7 @@
 	return out
 }
 
-func answerToWire(answer relayer.Answer) *wire.ListAnswer {
+func answerToWire(answer relayer.Response) *wire.ListAnswer {
 	out := &wire.ListAnswer{
 		Whole:   answer.News.Whole,
 		Version: uint64(answer.News.Version),
--- a/internal/workflow/gateway/lists_test.go
+++ b/internal/workflow/gateway/lists_test.go
@@ -31,11 +31,11 @@
 
 func (d *deployment) newLists() *relayer.Relay {
 	return relayer.New(relayer.Dependencies{
-		Feed:    listFeed{d},
-		Meaning: func(entry []byte) any { return string(entry) },
-		Clock:   d.clock,
-		Log:     slog.New(slog.NewTextHandler(io.Discard, nil)),
-	}, relayer.Timing{AskTimeout: 2000, WholeTimeout: 2000, FeedTimeout: 2000, Fresh: 150, Hold: 1000, Oldest: 2000, DirectFor: 200, KeptFor: 10_000})
+		Feed:       listFeed{d},
+		Attributes: func(entry []byte) any { return string(entry) },
+		Clock:      d.clock,
+		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}, relayer.Timing{RequestTimeout: 2000, WholeTimeout: 2000, FeedTimeout: 2000, FreshFor: 150, FreshTimeout: 1000, MaxAge: 2000, FallbackPeriod: 200, Retention: 10_000})
 }
 
 // followList reads the list at a host until ctx ends.
