--- a/internal/operators/reader/reader.go
+++ b/internal/operators/reader/reader.go
@@ -1,4 +1,4 @@
-// Package reader follows the table that operators write to.
+// Package reader follows the operators' table.
 package reader
 
 import (
@@ -10,20 +10,20 @@
 	"github.com/cottonlanding/cottonlanding/internal/duty/pauser"
 )
 
-// Timing bounds the calls of a reader.
+// Timing holds the timings of a reader.
 type Timing struct {
-	// Wait is how long one call waits for a change.
+	// Wait is how long the table holds a call open until there is a change.
 	Wait cottonlanding.Millis
-	// Timeout bounds one call.
+	// Timeout is the timeout of one call; it includes Wait.
 	Timeout cottonlanding.Millis
-	// Pause is the pause after a call that failed.
+	// Pause is the interval before the next call after a failure, or while the table is empty.
 	Pause cottonlanding.Millis
 }
 
-// Consumer takes in what is read, one reading after the other.
+// Consumer processes a reading. It is called from one goroutine, in the order of the readings.
 type Consumer func(reading cottonlanding.FeedReading)
 
-// Reader follows the table and hands each reading to all takers.
+// Reader follows the table and passes each reading to all consumers.
 type Reader struct {
 	feed      cottonlanding.Feed
 	timing    Timing
@@ -31,7 +31,7 @@
 	consumers []Consumer
 }
 
-// New starts to follow the table until ctx ends.
+// New returns a reader that follows the table until ctx ends. Consumers are called in the order given.
 func New(ctx context.Context, feed cottonlanding.Feed, timing Timing, log *slog.Logger, consumers ...Consumer) *Reader {
 	r := &Reader{feed: feed, timing: timing, log: log, consumers: consumers}
 	go r.run(ctx)
@@ -47,20 +47,20 @@
 			r.log.Info("operators' table is read again", "After", version)
 			version = 0
 		case err != nil:
-			// The feed brings each version in between, of which a slow link can't carry
-			// some ten a second: the table has the newest alone.
+			// The feed delivers every intermediate version, and a slow link can't carry some ten a
+			// second. A read of the whole table returns the newest versions only.
 			version = 0
 			pauser.Pause(ctx, r.timing.Pause)
 		case next == 0:
-			pauser.Pause(ctx, r.timing.Pause) // nothing was ever written, so that there is nothing to go on from
+			pauser.Pause(ctx, r.timing.Pause) // nothing was written yet: there is no version to wait after
 		default:
 			version = next
 		}
 	}
 }
 
-// readOnce reads the whole table if the version is zero, else what changed after it, and returns
-// the version from which to go on.
+// readOnce reads the whole table if version is zero, else the changes after it. It returns the version after
+// which to read next, zero while the table is empty.
 func (r *Reader) readOnce(ctx context.Context, version cottonlanding.Version) (cottonlanding.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.timing.Timeout.Duration())
 	defer cancel()
--- a/internal/operators/reader/reader_test.go
+++ b/internal/operators/reader/reader_test.go
@@ -17,14 +17,14 @@
 
 var timing = reader.Timing{Wait: 1500, Timeout: 2000, Pause: 200}
 
-// answer is what a call of the feed gives, after a span.
+// answer is the result of one call of the feed, returned after delay.
 type answer struct {
 	version cottonlanding.Version
 	err     error
 	delay   time.Duration
 }
 
-// scriptedFeed is a feed that gives its answers one after the other, and none after the last.
+// scriptedFeed returns its answers one after the other; later calls block until their context ends.
 type scriptedFeed struct {
 	startedAt   time.Time
 	answers     []answer
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestReaderResumesOrRestarts: a reading goes on from the last one; after a lost history the
-// whole table is read at once, after a failed call or one without an answer following a pause.
+// TestReaderResumesOrRestarts guards against missed changes and against retries without a pause. A reading continues
+// from the last version. After ErrHistoryGone the whole table is read at once, after an error or a timeout
+// following a pause.
 func TestReaderResumesOrRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{startedAt: time.Now(), answers: []answer{
@@ -71,15 +72,15 @@
 		cancel()
 		synctest.Wait()
 		require.Equal(t, []cottonlanding.Version{3, 5, 6, 7, 8}, first)
-		require.Equal(t, first, second, "each taker takes in each reading")
+		require.Equal(t, first, second, "each consumer gets each reading")
 		require.Equal(t, []cottonlanding.Version{0, 3, 5, 0, 6, 0, 7, 0}, feed.requested)
 		ms := time.Millisecond
 		require.Equal(t, []time.Duration{0, 0, 1000 * ms, 1000 * ms, 1000 * ms, 1200 * ms, 1200 * ms, 3400 * ms}, feed.requestedAt)
 	})
 }
 
-// TestEmptyTablePolledAtIntervals checks that a table to which nothing was written yet, which has no
-// version to wait after, is read after pauses. All hosts of a deployment start with one.
+// TestEmptyTablePolledAtIntervals guards against a busy loop on an empty table, which has no version to wait after.
+// All hosts of a new deployment start with one.
 func TestEmptyTablePolledAtIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{startedAt: time.Now(), answers: []answer{{}, {}, {version: 3}}}
--- a/internal/operators/recorder/recorder.go
+++ b/internal/operators/recorder/recorder.go
@@ -1,4 +1,4 @@
-// Package recorder holds which data centres the operators want evacuated.
+// Package recorder keeps the evacuations of data centres that operators have ordered.
 package recorder
 
 import (
@@ -10,9 +10,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Recorder holds which data centres the operators want evacuated. The row alone orders an
-// evacuation, whatever its value, and its removal takes it back. A reading that is older than
-// what is known of a data centre changes nothing.
+// Recorder keeps the evacuations in force. The existence of a row orders an evacuation, whatever its value, and its
+// removal ends it. A row older than the last known version of its data centre is ignored.
 type Recorder struct {
 	prefix string
 	clock  cottonlanding.Clock
@@ -20,12 +19,11 @@
 
 	mu      sync.Mutex
 	current cottonlanding.Evacuations
-	// versions holds as of which version it is known whether a data centre is evacuated.
+	// versions holds the version as of which the state of each data centre is known.
 	versions map[cottonlanding.DataCentre]cottonlanding.Version
 }
 
-// New returns a recorder of no reading yet. The prefix begins the keys of evacuations; the data
-// centre follows.
+// New returns a recorder without any reading. The key of an evacuation is prefix followed by the data centre.
 func New(prefix string, clock cottonlanding.Clock, log *slog.Logger) *Recorder {
 	return &Recorder{
 		prefix:   prefix,
@@ -35,14 +33,14 @@
 	}
 }
 
-// Current returns the newest state.
+// Current returns the evacuations in force and when they were read. The caller must not change the map.
 func (r *Recorder) Current() cottonlanding.Evacuations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current
 }
 
-// Apply takes in a reading of the operators' table.
+// Apply merges a reading of the operators' table. Rows of other kinds are ignored.
 func (r *Recorder) Apply(reading cottonlanding.FeedReading) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +72,7 @@
 	r.current = cottonlanding.Evacuations{ReadAt: max(r.current.ReadAt, reading.At), InForce: inForce}
 }
 
-// set takes in whether a data centre is evacuated as of a version.
+// set records in inForce whether a data centre is evacuated as of version. The caller holds the lock.
 func (r *Recorder) set(inForce map[cottonlanding.DataCentre]cottonlanding.Evacuation, dataCentre cottonlanding.DataCentre, version cottonlanding.Version, evacuated bool) {
 	if version < r.versions[dataCentre] {
 		return
--- a/internal/operators/recorder/recorder_test.go
+++ b/internal/operators/recorder/recorder_test.go
@@ -26,7 +26,7 @@
 	return cottonlanding.FeedRow{Key: key, Version: version, Deleted: true}
 }
 
-// versions returns which evacuations are in force, and as of which versions.
+// versions returns the versions of the evacuations in force.
 func versions(r *recorder.Recorder) map[cottonlanding.DataCentre]cottonlanding.Version {
 	out := make(map[cottonlanding.DataCentre]cottonlanding.Version)
 	for dataCentre, evacuation := range r.Current().InForce {
@@ -37,8 +37,9 @@
 
 type inForce = map[cottonlanding.DataCentre]cottonlanding.Version
 
-// TestRowsSetEvacuations: a row orders, its removal takes back, and what is no data centre's
-// hides no other. What a whole reading lacks was taken back.
+// TestRowsSetEvacuations guards against evacuations that are missed or go on after their rows are gone. A row
+// orders an evacuation, and its removal, or its absence from a whole reading, ends it. Invalid keys and other rows
+// don't affect the rest.
 func TestRowsSetEvacuations(t *testing.T) {
 	r := newRecorder()
 	require.Zero(t, r.Current().ReadAt)
@@ -50,15 +51,15 @@
 	require.Equal(t, cottonlanding.Evacuation{DataCentre: "x", Version: 2, KnownAt: now}, r.Current().InForce["x"])
 	r.Apply(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{removedRow("out/x", 4)}, Version: 4})
 	require.Equal(t, inForce{"y": 3}, versions(r))
-	require.Equal(t, cottonlanding.Millis(5), r.Current().ReadAt, "there may have been more to read")
+	require.Equal(t, cottonlanding.Millis(5), r.Current().ReadAt, "a reading without a time doesn't change ReadAt")
 	r.Apply(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{evacuationRow("out/x", 6)}, At: 9, Version: 6})
-	require.Equal(t, inForce{"x": 6, "y": 3}, versions(r), "it is another one")
+	require.Equal(t, inForce{"x": 6, "y": 3}, versions(r), "a row written again is a new evacuation")
 	r.Apply(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{evacuationRow("out/x", 6)}, At: 12, Version: 8, Whole: true})
 	require.Equal(t, inForce{"x": 6}, versions(r))
 	require.Equal(t, cottonlanding.Millis(12), r.Current().ReadAt)
 }
 
-// TestOlderReadingsIgnored: a reading may tell what was before the newest that is known.
+// TestOlderReadingsIgnored guards against a whole reading that is older than the last changes and reverts them.
 func TestOlderReadingsIgnored(t *testing.T) {
 	r := newRecorder()
 	r.Apply(cottonlanding.FeedReading{Rows: []cottonlanding.FeedRow{evacuationRow("out/x", 8), removedRow("out/y", 9)}, At: 20, Version: 9})
--- a/internal/operators/sharer/copy.go
+++ b/internal/operators/sharer/copy.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// maxPacked is the longest copy that is written, in bytes: the table takes rows of 64 KiB, with
-	// what is put before the value.
+	// maxPacked is the maximum length of a written copy, in bytes: the table accepts rows of 64 KiB, including
+	// what precedes the value.
 	maxPacked = 65_000
-	// maxUnpacked bounds what a copy may come to: a broken one must not take all memory.
+	// maxUnpacked is the maximum unpacked length, in bytes, so that a broken copy can't exhaust memory.
 	maxUnpacked = 16 << 20
 )
 
-// tableCopy is the operators' table as of a version.
+// tableCopy is the operators' table as of a version. It is encoded with gob under the names of its fields.
 type tableCopy struct {
 	Version cottonlanding.Version
 	Rows    []cottonlanding.FeedRow
 }
 
-// pack returns a copy as it is written into a row. Operators' rows are texts that repeat
-// themselves, of which some seventh is left.
+// pack encodes a copy as it is stored in a row. Operators' rows are repetitive texts, which compress to about a
+// seventh. It returns an error if the result is longer than maxPacked.
 func (c tableCopy) pack() ([]byte, error) {
 	var out bytes.Buffer
 	compressor := gzip.NewWriter(&out)
@@ -41,7 +41,7 @@
 	return out.Bytes(), nil
 }
 
-// unpack returns the copy that a row holds.
+// unpack decodes the copy that a row holds.
 func unpack(packed []byte) (tableCopy, error) {
 	decompressor, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
@@ -54,8 +54,8 @@
 	return out, nil
 }
 
-// asReading returns the copy as a asReading of the whole table. It doesn't say as of when on this
-// host's clock the table is known: that is for the host's own looks.
+// asReading returns the copy as a reading of the whole table. At stays zero: only a host's own reads of the table
+// establish the time as of which it is known.
 func (c tableCopy) asReading() cottonlanding.FeedReading {
 	return cottonlanding.FeedReading{Rows: c.Rows, Whole: true, Version: c.Version}
 }
--- a/internal/operators/sharer/golden_test.go
+++ b/internal/operators/sharer/golden_test.go
@@ -16,8 +16,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/operators/sharer"
 )
 
-// TestGoldenCopy guards against a copy of the operators' table that hosts of another version read as something else. It
-// compares what is packed: another compressor may pack it otherwise.
+// TestGoldenCopy guards against a change of the copy's encoding, which hosts of other versions would misread. It
+// compares the uncompressed data, as compressors may differ in their output.
 func TestGoldenCopy(t *testing.T) {
 	original := sharer.TableCopy{Version: 1, Rows: []cottonlanding.FeedRow{{Key: "text2", Value: []byte("text3"), Version: 4, Deleted: true}}}
 	packed, err := sharer.Pack(original)
--- a/internal/operators/sharer/sharer.go
+++ b/internal/operators/sharer/sharer.go
@@ -1,10 +1,10 @@
 // Package sharer lets hosts read the operators' table from a packed copy.
 //
-// What operators write is long, and each host must know of each change: read by each host, a change
-// costs its length times the hosts. Here the owner of the first cell writes a packed copy into a row of
-// whose changes the table tells all hosts anyway. Hosts that own nothing wait for it, and look at the
-// table themselves as often as they would without it: then most looks find nothing new, and a
-// copy that is late, old, broken or missing costs bytes but no time.
+// Operators' rows are long, and each host must learn of each change: if every host read it from the table, a change
+// would cost its length times the number of hosts. Instead the owner of the first cell writes a packed copy into a
+// watched row, whose changes the table sends to all hosts anyway. Hosts that own no cell wait for the copy
+// and still read the table as often as they would without it. Most of these reads find nothing new, and a copy that is
+// late, outdated, broken or missing costs bytes but no time.
 package sharer
 
 import (
@@ -23,46 +23,47 @@
 )
 
 const (
-	// writeInterval is the shortest time between two copies: of changes in quick succession most are
-	// out of date before all hosts have read them.
+	// writeInterval is the minimum time between two copies: of changes in quick succession most are outdated
+	// before all hosts have read them.
 	writeInterval = 250 * cottonlanding.Millis(1)
-	// writeTimeout bounds the write of a copy.
+	// writeTimeout is the timeout for writing a copy.
 	writeTimeout = cottonlanding.Second
 )
 
-// Watcher tells of the changes of watched rows.
+// Watcher follows the watched rows.
 type Watcher interface {
+	// Row returns the row as last received, and whether it exists.
 	Row(key cottonlanding.Key) (cottonlanding.Row, bool)
+	// Listen makes the watcher call listener after each change of the row.
 	Listen(key cottonlanding.Key, listener func())
 }
 
-// Dependencies are what a sharer works with.
+// Dependencies are the dependencies of a sharer.
 type Dependencies struct {
 	// Feed is the operators' table itself.
 	Feed cottonlanding.Feed
-	// Table holds the copy in the watched row Key, Roll tells of it.
+	// Table holds the copy in the watched row Key, and Watcher reports its changes.
 	Table   cottonlanding.Table
 	Key     cottonlanding.Key
 	Watcher Watcher
 	Clock   cottonlanding.Clock
 	Log     *slog.Logger
-	// WritesCopies reports whether this host writes copies, Waits whether it waits for them.
+	// WritesCopies reports whether this host writes copies, AwaitsCopies whether it waits for them.
 	WritesCopies func() bool
 	AwaitsCopies func() bool
 }
 
-// Sharer reads the operators' table, or a copy of it. It implements cottonlanding.Feed for one
-// reader at a time.
+// Sharer reads the operators' table or a copy of it. It implements cottonlanding.Feed for one reader at a time.
 type Sharer struct {
 	deps Dependencies
-	// copyArrived holds a signal when there is another copy, changed when there is something to copy.
+	// copyArrived is woken when the row of the copy changes, tableChanged when there is a change to copy.
 	copyArrived  waker.Waker
 	tableChanged waker.Waker
 
-	// The fields below belong to the reader's goroutine.
-	// tableReadAt is when this host last looked at the table itself.
+	// The fields up to mu belong to the reader's goroutine.
+	// tableReadAt is when this host last read the table itself.
 	tableReadAt cottonlanding.Millis
-	// newest is the newest copy that could be read, from row version newestRow on.
+	// newest is the newest readable copy, newestRowVersion the version of the last row that was examined.
 	newest           tableCopy
 	newestRowVersion cottonlanding.Version
 
@@ -72,10 +73,10 @@
 	counts  Counts
 }
 
-// Counts counts what a sharer has read and written.
+// Counts counts the reads and writes of a sharer.
 type Counts struct {
-	// CopiesRead counts the copies that told something new, TableReads the readings of the table itself,
-	// TableReadsWithChanges those of them that told something new.
+	// CopiesRead counts the copies with changes, TableReads the reads of the table itself, TableReadsWithChanges
+	// those of them that returned changes.
 	CopiesRead, TableReads, TableReadsWithChanges int
 	// CopiesWritten counts the copies that this host wrote.
 	CopiesWritten int
@@ -103,7 +104,7 @@
 	return s
 }
 
-// Read implements cottonlanding.Feed. What isn't known at all is read from the table.
+// Read implements cottonlanding.Feed. With version zero it always reads the table itself.
 func (s *Sharer) Read(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
 	if version > 0 && s.deps.AwaitsCopies() {
 		if s.awaitCopy(ctx, version, wait) {
@@ -140,8 +141,8 @@
 	add(&s.counts)
 }
 
-// awaitCopy waits for a copy that is newer than version, until the next look is due. It reports
-// whether there is one.
+// awaitCopy waits for a copy that is newer than version, until interval has passed since the last read of the table.
+// It reports whether there is one.
 func (s *Sharer) awaitCopy(ctx context.Context, version cottonlanding.Version, interval cottonlanding.Millis) bool {
 	remaining := s.tableReadAt + interval - s.deps.Clock.Now()
 	if remaining <= 0 {
@@ -164,7 +165,7 @@
 	}
 }
 
-// loadCopy takes in the copy that was last written. One that can't be read changes nothing.
+// loadCopy loads the copy from its row if that has changed. An unreadable or older copy is ignored.
 func (s *Sharer) loadCopy() {
 	row, _ := s.deps.Watcher.Row(s.deps.Key)
 	if row.Version <= s.newestRowVersion {
@@ -181,7 +182,7 @@
 	}
 }
 
-// apply takes in a reading, and has it copied if that is this host's part.
+// apply merges a reading and schedules a copy if this host writes copies.
 func (s *Sharer) apply(reading cottonlanding.FeedReading) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,7 +202,7 @@
 	}
 }
 
-// currentCopy returns a copy of the table as it is known.
+// currentCopy returns a copy of the table as known to this host.
 func (s *Sharer) currentCopy() tableCopy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,7 +213,7 @@
 	return out
 }
 
-// write writes a copy. After a failure hosts look for themselves.
+// write writes a copy. After a failure the other hosts learn of the change by their own reads of the table.
 func (s *Sharer) write(ctx context.Context) {
 	next := s.currentCopy()
 	packed, err := next.pack()
--- a/internal/operators/sharer/sharer_test.go
+++ b/internal/operators/sharer/sharer_test.go
@@ -28,14 +28,14 @@
 
 const (
 	copyKey cottonlanding.Key = "Test:" + cottonlanding.WatchedPrefix + "Operators"
-	// callDuration is how long a call of the table takes, startGap lies between two starts of hosts.
+	// callDuration is the duration of a call to the table, startInterval the time between starts of two hosts.
 	callDuration  = 4 * time.Millisecond
 	startInterval = 37 * time.Millisecond
-	// configurationLength is that of a row that operators write.
+	// configurationLength is the length of a typical row of operators, in bytes.
 	configurationLength = 42_000
 )
 
-// operators is the table that operators write to. It counts the bytes of its answers.
+// operators is a fake of the operators' table that counts the bytes it returns.
 type operators struct {
 	mu        sync.Mutex
 	rows      map[string]cottonlanding.FeedRow
@@ -90,7 +90,7 @@
 	return reading, o.changed
 }
 
-// host is what one host knows of the operators' table.
+// host holds the operators' table as known to one host.
 type host struct {
 	mu      sync.Mutex
 	rows    map[string]cottonlanding.FeedRow
@@ -118,7 +118,7 @@
 	return h.rows[key].Value
 }
 
-// fleet is some hosts, of which the first writes copies while leads is true.
+// fleet is a number of hosts of which the first writes copies while firstWrites is true.
 type fleet struct {
 	clock       cottonlanding.Clock
 	operators   *operators
@@ -128,7 +128,7 @@
 	log         bytes.Buffer
 }
 
-// simulate starts count hosts and lets them settle; with shares they read copies.
+// simulate runs test once count hosts have started; with useCopies they read copies.
 func simulate(t *testing.T, count int, useCopies bool, test func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -148,7 +148,7 @@
 		for _, watcher := range watchers {
 			watcher.Close()
 		}
-		time.Sleep(time.Second) // calls under way end
+		time.Sleep(time.Second) // for calls in progress to end
 	})
 }
 
@@ -175,7 +175,7 @@
 	reader.New(ctx, feed, timing, log, h.apply)
 }
 
-// requireAll checks what all hosts know.
+// requireAll checks that all hosts know a row's value.
 func (f *fleet) requireAll(t *testing.T, key string, value []byte) {
 	t.Helper()
 	for number, h := range f.hosts {
@@ -183,14 +183,14 @@
 	}
 }
 
-// newConfiguration returns a row of operators, which repeats itself as theirs do.
+// newConfiguration returns a row of about the given length in bytes, as repetitive as real ones.
 func newConfiguration(number, length int) []byte {
 	line := fmt.Sprintf(`{"name":"queue-%d","backend":"service","timeoutMs":3000},`, number)
 	return bytes.Repeat([]byte(line), length/len(line)+1)
 }
 
-// TestChangeReadByFewHosts checks that what a change costs at the operators' table doesn't grow
-// with the hosts, but for the looks that fall between the change and its copy.
+// TestChangeReadByFewHosts guards against reads of the table that grow with the number of hosts. Only reads that
+// fall between a change and its copy return the change.
 func TestChangeReadByFewHosts(t *testing.T) {
 	for _, count := range []int{20, 80} {
 		require.Less(t, readsPerChange(t, count, true), 2+float64(count)/20, "%d hosts", count)
@@ -198,7 +198,7 @@
 	require.GreaterOrEqual(t, readsPerChange(t, 20, false), 20.0, "without copies each host reads each change")
 }
 
-// readsPerChange returns how often a change is read from the operators' table.
+// readsPerChange returns how often a change is read from the operators' table on average.
 func readsPerChange(t *testing.T, count int, useCopies bool) float64 {
 	const changes = 10
 	var total int64
@@ -214,8 +214,8 @@
 	return float64(total) / configurationLength / changes
 }
 
-// TestHostsReadTableWhenCopiesStop checks that hosts know a change by their next look, where nobody
-// copies it.
+// TestHostsReadTableWhenCopiesStop guards against hosts that miss a change which nobody copies: they learn of it by
+// their next read of the table.
 func TestHostsReadTableWhenCopiesStop(t *testing.T) {
 	simulate(t, 12, true, func(f *fleet) {
 		f.firstWrites.Store(false)
@@ -225,8 +225,8 @@
 	})
 }
 
-// TestStaleAndBrokenCopiesIgnored checks that hosts look for themselves though copies that are
-// old or broken go on to come, and that those take nothing back.
+// TestStaleAndBrokenCopiesIgnored guards against stale or broken copies that keep arriving and delay the hosts'
+// own reads of the table or revert a change.
 func TestStaleAndBrokenCopiesIgnored(t *testing.T) {
 	simulate(t, 12, true, func(f *fleet) {
 		f.firstWrites.Store(false)
@@ -246,7 +246,7 @@
 	})
 }
 
-// copy returns the row that holds the copy.
+// copy returns the row with the copy.
 func (f *fleet) copy(t *testing.T) cottonlanding.Row {
 	rows, err := f.table.Read(t.Context(), copyKey)
 	require.NoError(t, err)
@@ -263,8 +263,7 @@
 	require.NoError(t, err)
 }
 
-// TestCopiesCarryRemovals checks that a row that operators remove, and one that they write beside
-// others, are known everywhere by the copy.
+// TestCopiesCarryRemovals guards against copies that lose a removed row's removal, or a row written beside others.
 func TestCopiesCarryRemovals(t *testing.T) {
 	simulate(t, 12, true, func(f *fleet) {
 		f.operators.write("evacuate/hall", []byte("{}"))
@@ -277,7 +276,7 @@
 	})
 }
 
-// TestOversizedTableReadDirectly checks that hosts read a table for themselves that fits into no row.
+// TestOversizedTableReadDirectly guards against changes that get lost when the table is too long to be copied.
 func TestOversizedTableReadDirectly(t *testing.T) {
 	simulate(t, 4, true, func(f *fleet) {
 		long := make([]byte, 100_000)
