--- a/internal/discovery/discoverer/discoverer.go
+++ b/internal/discovery/discoverer/discoverer.go
@@ -1,4 +1,4 @@
-// Package discoverer follows the list of workers that the platform keeps.
+// Package discoverer follows the platform's list of workers.
 package discoverer
 
 import (
@@ -13,20 +13,20 @@
 	"github.com/cottonlanding/cottonlanding/internal/duty/pauser"
 )
 
-// Timing bounds the calls of a discoverer, and how long a worker is believed in.
+// Timing holds the timings of a discoverer.
 type Timing struct {
-	// Poll is the time between two reads of what changed.
+	// Poll is the interval between the starts of two reads.
 	Poll cottonlanding.Millis
-	// Timeout bounds one call.
+	// Timeout is the timeout of one read.
 	Timeout cottonlanding.Millis
-	// RemovalDelay is how long an entry may be missing before its worker counts as gone.
+	// RemovalDelay is how long an entry must be missing before its worker is removed from the list.
 	RemovalDelay cottonlanding.Millis
 }
 
-// Parse reads the entry of a worker. An error says why the entry names none.
+// Parse decodes the entry of a worker. It returns an error if the entry describes no usable worker.
 type Parse func(id cottonlanding.WorkerID, entry []byte) (cottonlanding.WorkerInfo, error)
 
-// Discoverer follows the list of workers while it is asked to.
+// Discoverer follows the list of workers between Follow(true) and Follow(false).
 type Discoverer struct {
 	feed   cottonlanding.Feed
 	parse  Parse
@@ -39,19 +39,19 @@
 	known        bool
 	workers      map[cottonlanding.WorkerID]cottonlanding.WorkerInfo
 	missingSince map[cottonlanding.WorkerID]cottonlanding.Millis
-	// refusals holds why the entries were refusals that stand and name no worker.
+	// refusals holds the reason for each present entry that was refused.
 	refusals map[cottonlanding.WorkerID]string
 	list     []cottonlanding.WorkerInfo
-	// readAt is as of when the list is complete, zero before it was.
+	// readAt is the time as of which the list is complete, zero if it never was.
 	readAt cottonlanding.Millis
 }
 
-// New returns a discoverer that follows nothing yet.
+// New returns a discoverer that doesn't follow the list yet.
 func New(feed cottonlanding.Feed, parse Parse, timing Timing, clock cottonlanding.Clock, log *slog.Logger) *Discoverer {
 	return &Discoverer{feed: feed, parse: parse, timing: timing, clock: clock, log: log}
 }
 
-// Follow starts or stops following the list.
+// Follow starts or stops following the list. Once stopped, the list is unknown.
 func (d *Discoverer) Follow(follow bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,15 +67,15 @@
 	}
 }
 
-// Workers returns the list, and false before it was read. A changed list is a
-// new slice.
+// Workers returns the workers sorted by ID, and whether the list was read. A slice is never modified: a changed list
+// is a new slice.
 func (d *Discoverer) Workers() ([]cottonlanding.WorkerInfo, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list, d.known
 }
 
-// ReadAt returns as of when the list is complete.
+// ReadAt returns the time as of which the list is complete, zero if it never was.
 func (d *Discoverer) ReadAt() cottonlanding.Millis {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,12 +103,12 @@
 		if more {
 			continue
 		}
-		pauser.Pause(ctx, startedAt+d.timing.Poll-d.clock.Now()) // a call without an answer was pause enough
+		pauser.Pause(ctx, startedAt+d.timing.Poll-d.clock.Now()) // no pause if the call took longer than Poll
 	}
 }
 
-// readOnce reads the whole list if the version is zero, else what changed after it. It returns
-// the version from which to go on, and whether there may be more to read at once.
+// readOnce reads the whole list if version is zero, else the changes after it. It returns the version after which to
+// read next, and whether more changes may be available at once.
 func (d *Discoverer) readOnce(ctx context.Context, version cottonlanding.Version) (next cottonlanding.Version, more bool, err error) {
 	callCtx, cancel := context.WithTimeout(ctx, d.timing.Timeout.Duration())
 	defer cancel()
@@ -120,7 +120,7 @@
 	return reading.Version, reading.More, nil
 }
 
-// apply merges a reading into the list.
+// apply merges a reading into the list, unless ctx has ended.
 func (d *Discoverer) apply(ctx context.Context, reading cottonlanding.FeedReading) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,8 +171,8 @@
 	}
 }
 
-// refuse takes a worker off the list whose entry can't be used, at once: unlike one that is
-// missing, it surely isn't what the worker has written. It reports whether the list changes.
+// refuse removes a worker with an unusable entry from the list at once: unlike a missing entry, an unusable one is
+// certainly not what the worker has written. It reports whether the list changes.
 func (d *Discoverer) refuse(id cottonlanding.WorkerID, cause error) bool {
 	if reason := cause.Error(); d.refusals[id] != reason {
 		d.refusals[id] = reason
--- a/internal/discovery/discoverer/discoverer_test.go
+++ b/internal/discovery/discoverer/discoverer_test.go
@@ -18,7 +18,7 @@
 
 var timing = discoverer.Timing{Poll: 500, Timeout: 1000, RemovalDelay: 2500}
 
-// parse takes an entry for the worker's address.
+// parse interprets an entry as the worker's address.
 func parse(id cottonlanding.WorkerID, entry []byte) (cottonlanding.WorkerInfo, error) {
 	if len(entry) == 0 {
 		return cottonlanding.WorkerInfo{}, errors.New("it has no address")
@@ -26,22 +26,22 @@
 	return cottonlanding.WorkerInfo{ID: id, Address: cottonlanding.Address(entry)}, nil
 }
 
-// entry is a worker's entry in a reading.
+// entry returns a worker's entry in a reading.
 func entry(id, address string) cottonlanding.FeedRow {
 	return cottonlanding.FeedRow{Key: id, Value: []byte(address)}
 }
 
-// removed is an entry that is gone.
+// removed returns the row of a removed entry.
 func removed(id string) cottonlanding.FeedRow { return cottonlanding.FeedRow{Key: id, Deleted: true} }
 
-// feed is a feed of which a test says what the next call gives.
+// feed is a feed whose next result a test sets.
 type feed struct {
 	clock cottonlanding.Clock
 
 	mu   sync.Mutex
 	next cottonlanding.FeedReading
 	err  error
-	// requested holds the versions from which was read.
+	// requested holds the versions passed to Read.
 	requested []cottonlanding.Version
 }
 
@@ -53,12 +53,12 @@
 	reading.At = f.clock.Now()
 	f.next = cottonlanding.FeedReading{Version: reading.Version}
 	if errors.Is(err, cottonlanding.ErrHistoryGone) {
-		f.err = nil // the whole table can be read
+		f.err = nil // the next call reads the whole table
 	}
 	return reading, err
 }
 
-// setNext sets what the next call gives besides the version, which grows.
+// setNext sets the result of the next call, except for the version, which increases.
 func (f *feed) setNext(rows []cottonlanding.FeedRow, whole bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,14 +66,14 @@
 	f.err = err
 }
 
-// setNextIncomplete makes the next call tell that there may be more.
+// setNextIncomplete makes the next call report that more changes may be available.
 func (f *feed) setNextIncomplete() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next = cottonlanding.FeedReading{More: true, Version: f.next.Version + 1}
 }
 
-// takeRequested returns the versions from which was read since it was asked last.
+// takeRequested returns the versions passed to Read since its last call.
 func (f *feed) takeRequested() []cottonlanding.Version {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	return requested
 }
 
-// logBuffer takes in log lines.
+// logBuffer collects log lines.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -94,33 +94,33 @@
 	return j.text.Write(data)
 }
 
-// count returns how often a text stands in the lines.
+// count returns how often text occurs in the lines.
 func (j *logBuffer) count(text string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return strings.Count(j.text.String(), text)
 }
 
-// fixture is a discoverer that follows a table, and its log.
+// fixture is a discoverer that follows a scripted feed, and its log.
 type fixture struct {
 	*discoverer.Discoverer
 	feed  *feed
 	lines *logBuffer
 }
 
-// update makes the next call give rows, and waits for it.
+// update makes the next call return rows, and waits for it.
 func (b *fixture) update(whole bool, rows ...cottonlanding.FeedRow) {
 	b.feed.setNext(rows, whole, nil)
 	b.advance(timing.Poll)
 }
 
-// advance lets time go by.
+// advance advances the virtual time by span.
 func (b *fixture) advance(span cottonlanding.Millis) {
 	time.Sleep(span.Duration())
 	synctest.Wait()
 }
 
-// listed returns the ids and addresses on the list.
+// listed returns the IDs and addresses on the list.
 func (b *fixture) listed() string {
 	var out []string
 	list, _ := b.Workers()
@@ -130,7 +130,7 @@
 	return strings.Join(out, " ")
 }
 
-// testFollowing runs a test with a discoverer that follows a table of two workers.
+// testFollowing runs a test with a discoverer that follows a feed of two workers.
 func testFollowing(t *testing.T, test func(t *testing.T, b *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -139,21 +139,21 @@
 		b.feed.setNext([]cottonlanding.FeedRow{entry("b", "2"), entry("a", "1")}, true, nil)
 		b.Discoverer = discoverer.New(b.feed, parse, timing, clock, slog.New(slog.NewTextHandler(b.lines, nil)))
 		_, known := b.Workers()
-		require.False(t, known, "nothing is known before it is followed")
+		require.False(t, known, "the list is unknown before Follow(true)")
 		b.Follow(true)
 		synctest.Wait()
 		require.Equal(t, "a=1 b=2", b.listed())
 		test(t, b)
 		b.Follow(false)
 		_, known = b.Workers()
-		require.False(t, known, "nothing is known once it isn't followed")
+		require.False(t, known, "the list is unknown after Follow(false)")
 		require.Zero(t, b.ReadAt())
 		synctest.Wait()
 	})
 }
 
-// TestMissingEntryRemovedAfterDelay: a worker whose entry is gone stays on the list for the
-// patience, also if a whole reading lacks it, and for good if the entry comes back.
+// TestMissingEntryRemovedAfterDelay guards against workers that are dropped when their entries are missing briefly,
+// also from a whole reading. A worker is removed after RemovalDelay, unless its entry comes back.
 func TestMissingEntryRemovedAfterDelay(t *testing.T) {
 	testFollowing(t, func(t *testing.T, b *fixture) {
 		b.update(false, removed("a"))
@@ -161,13 +161,14 @@
 		b.advance(timing.RemovalDelay - 2*timing.Poll)
 		require.Equal(t, "a=1 b=2", b.listed())
 		b.advance(timing.Poll)
-		require.Equal(t, "a=1 b=2", b.listed(), "the whole reading lacks b since a poll later")
+		require.Equal(t, "a=1 b=2", b.listed(), "b went missing one Poll later than a")
 		b.advance(timing.Poll)
 		require.Equal(t, "a=1", b.listed())
 	})
 }
 
-// TestRefusedEntryRemovedAtOnce: it is told once for each reason.
+// TestRefusedEntryRemovedAtOnce guards against starts at a worker with an unusable entry, and against a log line per
+// reading: each reason is logged once.
 func TestRefusedEntryRemovedAtOnce(t *testing.T) {
 	testFollowing(t, func(t *testing.T, b *fixture) {
 		b.update(false, entry("a", ""))
@@ -181,7 +182,8 @@
 	})
 }
 
-// TestUnchangedListIsSameSlice: whoever holds a list can tell by it that nothing has changed.
+// TestUnchangedListIsSameSlice guards against a new slice without changes, and against changes to a returned slice:
+// callers compare slices to detect changes.
 func TestUnchangedListIsSameSlice(t *testing.T) {
 	testFollowing(t, func(t *testing.T, b *fixture) {
 		before, _ := b.Workers()
@@ -189,14 +191,15 @@
 		b.update(false, entry("a", "1"))
 		after, _ := b.Workers()
 		require.Same(t, &before[0], &after[0])
-		require.Equal(t, readAt+timing.Poll, b.ReadAt(), "it is known to hold until later")
+		require.Equal(t, readAt+timing.Poll, b.ReadAt(), "ReadAt advances though the list is unchanged")
 		b.update(false, entry("a", "5"))
 		require.Equal(t, "a=5 b=2", b.listed())
-		require.Equal(t, cottonlanding.Address("1"), before[0].Address, "a list is never changed")
+		require.Equal(t, cottonlanding.Address("1"), before[0].Address, "a returned list is never modified")
 	})
 }
 
-// TestListKeptWhileTableUnavailable: while the table is away the list stays, and its age shows.
+// TestListKeptWhileTableUnavailable guards against a list that is lost, or passes for current, while the table is
+// unavailable.
 func TestListKeptWhileTableUnavailable(t *testing.T) {
 	testFollowing(t, func(t *testing.T, b *fixture) {
 		readAt := b.ReadAt()
@@ -210,8 +213,8 @@
 	})
 }
 
-// TestIncompleteReadingContinuedAtOnce: a poll passes between two readings, unless the first may not
-// have told all or its history is lost.
+// TestIncompleteReadingContinuedAtOnce guards against reads that are delayed or too frequent: the next read follows
+// after Poll, or at once if the reading was incomplete or the history is gone.
 func TestIncompleteReadingContinuedAtOnce(t *testing.T) {
 	testFollowing(t, func(t *testing.T, b *fixture) {
 		require.Equal(t, []cottonlanding.Version{0}, b.feed.takeRequested())
--- a/internal/discovery/relayer/cache.go
+++ b/internal/discovery/relayer/cache.go
@@ -7,13 +7,13 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Reports of a source that can't answer.
+// Errors of a source that has no reading to return.
 var (
 	errNotRead   = fmt.Errorf("the list isn't read yet: %w", cottonlanding.ErrUnavailable)
 	errNoReading = fmt.Errorf("the list wasn't read again in time: %w", cottonlanding.ErrUnavailable)
 )
 
-// staleError reports a source whose reading is too old.
+// staleError reports that a source's reading is too old.
 type staleError struct{ age cottonlanding.Millis }
 
 // Error implements error.
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("the source's reading is %s old", e.age)
 }
 
-// outdatedError reports a source that knows less of the table than was known here before.
+// outdatedError reports that a source knows an older version of the table than this process.
 type outdatedError struct{ received, known cottonlanding.Version }
 
 // Error implements error.
@@ -29,29 +29,29 @@
 	return fmt.Sprintf("the source is at version %d, version %d was known before", e.received, e.known)
 }
 
-// tableCache is a table as it was read last, and what its entries said that was new of late.
+// tableCache holds the last known state of a table and its recent changes.
 type tableCache struct {
 	attributes func(entry []byte) any
 	rows       map[string]cachedEntry
-	// changes holds the entries that said something new and those that were removed, in the
-	// order in which this came to be known.
+	// changes holds the changed and the removed entries in the order in which they were received. Entries that were
+	// rewritten with the same attributes are left out.
 	changes []recordedChange
-	// changesSince is the version after which recent holds all changes.
+	// changesSince is the version after which changes is complete.
 	changesSince cottonlanding.Version
 	version      cottonlanding.Version
-	// whole says that the table was read whole.
+	// whole reports whether the whole table was read.
 	whole bool
-	// completeAt is as of when the table is known completely.
+	// completeAt is the time as of which the table is completely known, zero if it never was.
 	completeAt cottonlanding.Millis
 }
 
-// cachedEntry is an entry as of when it last said something new, and what that was.
+// cachedEntry is an entry as of its last change of attributes.
 type cachedEntry struct {
 	row        cottonlanding.FeedRow
 	attributes any
 }
 
-// recordedChange is an entry, and when it came to be known here.
+// recordedChange is a changed or removed entry and the time at which it was received.
 type recordedChange struct {
 	row        cottonlanding.FeedRow
 	recordedAt cottonlanding.Millis
@@ -61,8 +61,8 @@
 	return &tableCache{attributes: attributes, rows: make(map[string]cachedEntry)}
 }
 
-// apply merges a reading, whose entries are in the order of their changes, and returns those
-// that say something new; of a whole reading that is all of them.
+// apply merges a reading, whose entries are in the order of their changes. It returns the entries that have changed, or
+// all entries of a whole reading.
 func (c *tableCache) apply(reading cottonlanding.FeedReading, now cottonlanding.Millis) []cottonlanding.FeedRow {
 	if reading.Whole {
 		c.dropMissing(reading, now)
@@ -85,7 +85,7 @@
 	return changed
 }
 
-// applyRow takes in an entry and reports whether it says something new.
+// applyRow merges an entry and reports whether it has changed.
 func (c *tableCache) applyRow(row cottonlanding.FeedRow) bool {
 	if row.Deleted {
 		delete(c.rows, row.Key)
@@ -99,7 +99,7 @@
 	return true
 }
 
-// dropMissing removes the entries that a whole reading doesn't hold.
+// dropMissing records the removal of the entries that a whole reading lacks.
 func (c *tableCache) dropMissing(reading cottonlanding.FeedReading, now cottonlanding.Millis) {
 	present := make(map[string]bool, len(reading.Rows))
 	for _, row := range reading.Rows {
@@ -114,7 +114,7 @@
 	}
 }
 
-// prune drops the news from before an instant.
+// prune drops the changes recorded before an instant.
 func (c *tableCache) prune(before cottonlanding.Millis) {
 	firstKept := slices.IndexFunc(c.changes, func(n recordedChange) bool { return n.recordedAt >= before })
 	if firstKept < 0 {
@@ -126,7 +126,8 @@
 	c.changes = slices.Delete(c.changes, 0, firstKept)
 }
 
-// readingAfter returns what changed after a version, or the whole table if that isn't known.
+// readingAfter returns the changes after a version, or the whole table if they are no longer all known. It returns
+// errNotRead before the table was read completely.
 func (c *tableCache) readingAfter(after cottonlanding.Version) (cottonlanding.FeedReading, error) {
 	if !c.whole || c.completeAt == 0 {
 		return cottonlanding.FeedReading{}, errNotRead
--- a/internal/discovery/relayer/relayer.go
+++ b/internal/discovery/relayer/relayer.go
@@ -1,11 +1,10 @@
-// Package relayer lets one process of many read a table and tell the others what changed.
+// Package relayer lets one process read a table and relay its changes to the others.
 //
-// Entries of the workers' list are rewritten every second or so to say that their writers
-// live, and readers of the table's feed are sent each of those rewrites. Read by each owner
-// of a cell, they grow with owners times workers. Here one process reads the feed, its
-// source; the others ask the source, which tells them only of entries that say something
-// new. Versions are the table's own, so that a process can go on from what one source told
-// with another source, or with the feed itself when no source answers.
+// Workers rewrite their entries in the list every second or so as a sign of life, and the table's feed delivers each of
+// these rewrites to each reader. If every owner of a cell read the feed, the rows read would grow with owners times
+// workers. Instead one process, the source, reads the feed. The others send requests to the source, which returns
+// only entries whose attributes have changed. Versions are those of the table, so that a process can continue from a
+// source's version with another source, or with the feed itself if no source answers.
 package relayer
 
 import (
@@ -16,85 +15,82 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Source is another process that reads the table.
+// Source is a process that reads the table for others.
 type Source interface {
-	// News returns what changed after a version, as of a fresh reading of the source, or all
-	// that is known already if the version is zero. It returns ErrUnavailable if there is no
-	// fresh reading soon.
+	// News returns the changes after a version, as of a fresh reading of the source. With version zero it returns the
+	// whole table as already known. It returns ErrUnavailable if there is no such reading within a short time.
 	News(ctx context.Context, after cottonlanding.Version) (Response, error)
 }
 
-// Response is what a source tells.
+// Response is the response of a source.
 type Response struct {
 	News cottonlanding.FeedReading
-	// Age is how long before the question arrived the source's reading was asked for; it is
-	// negative for one that was asked for while the question waited.
+	// Age is the time between the start of the source's reading and the arrival of the request. It is negative if the
+	// reading was started while the request waited.
 	Age cottonlanding.Millis
 }
 
-// Timing bounds the calls of a relay.
+// Timing holds the timings of a relay.
 type Timing struct {
-	// RequestTimeout bounds one question, WholeTimeout one for the whole table.
+	// RequestTimeout is the timeout of a request to a source, WholeTimeout that of a request for the whole table.
 	RequestTimeout cottonlanding.Millis
 	WholeTimeout   cottonlanding.Millis
-	// FeedTimeout bounds one reading of the feed.
+	// FeedTimeout is the timeout of one reading of the feed, in addition to the wait.
 	FeedTimeout cottonlanding.Millis
-	// FreshFor is how old a reading may be that is told at once. Hold is how long a question
-	// waits for the next one otherwise: longer than the time between two of them, and than
-	// one takes.
+	// FreshFor is the maximum age of a reading that is returned at once. Otherwise a request waits up to FreshTimeout
+	// for the next reading. FreshTimeout must exceed both the interval between two readings and the duration of one.
 	FreshFor     cottonlanding.Millis
 	FreshTimeout cottonlanding.Millis
-	// MaxAge is how old a source's reading may be. One that is cut off from the table still
+	// MaxAge is the maximum age of a source's reading that is accepted: a source that is cut off from the table still
 	// answers.
 	MaxAge cottonlanding.Millis
-	// FallbackPeriod is for how long the feed is read after a source has failed.
+	// FallbackPeriod is how long the feed is read after a source has failed.
 	FallbackPeriod cottonlanding.Millis
-	// Retention is how long news is remembered. Who asks for what came before gets the whole
-	// table.
+	// Retention is how long changes are kept. A request for older changes gets the whole table.
 	Retention cottonlanding.Millis
 }
 
-// Dependencies are what a relay works with.
+// Dependencies are the dependencies of a relay.
 type Dependencies struct {
 	// Feed is the table itself.
 	Feed cottonlanding.Feed
-	// Attributes returns what an entry says, to be compared by ==, or nil if it can't be read. An
-	// entry is news if it says something else than before.
+	// Attributes returns the comparable content of an entry, or nil if it can't be decoded. An entry has changed if its
+	// attributes differ (==) or are nil.
 	Attributes func(entry []byte) any
 	Clock      cottonlanding.Clock
 	Log        *slog.Logger
 }
 
-// Relay is a feed that asks a source rather than the table, and a source for others. It
-// implements cottonlanding.Feed.
+// Relay is a feed that reads from a source instead of the table, and is a source for others. It implements
+// cottonlanding.Feed.
 type Relay struct {
 	deps   Dependencies
 	timing Timing
 
-	// The fields below belong to the goroutine that reads.
+	// The fields up to mu belong to the goroutine that calls Read.
 	source      Source
 	directUntil cottonlanding.Millis
 	direct      bool
 
 	mu sync.Mutex
-	// choose returns the process to ask, or nil if this one reads for all.
+	// choose returns the source to use, or nil if this process reads the feed.
 	choose     func() Source
 	tableCache *tableCache
 	counts     Counts
 	updated    chan struct{}
 }
 
-// Counts tells how a relay came to know the table.
+// Counts counts the readings and responses of a relay.
 type Counts struct {
-	// Direct counts readings of the feed, Relayed those that a source told.
+	// Direct counts readings of the feed, Relayed those received from a source.
 	Direct, Relayed int64
-	// DirectRows and RelayedRows count the entries of these.
+	// DirectRows and RelayedRows count the entries of these readings.
 	DirectRows, RelayedRows int64
-	// Answered counts the questions that were answered to others, AnsweredRows their entries.
+	// Answered counts the requests of others that were answered, AnsweredRows the entries returned.
 	Answered, AnsweredRows int64
 }
 
-// New returns a relay that knows nothing yet and reads the feed.
+// New returns a relay that reads the feed until ChooseBy sets a source.
 func New(deps Dependencies, timing Timing) *Relay {
 	return &Relay{
 		deps:       deps,
@@ -105,21 +101,21 @@
 	}
 }
 
-// ChooseBy makes the relay ask the process that choose returns, if any, from now on.
+// ChooseBy makes the relay read from the source that choose returns, or from the feed if that is nil.
 func (r *Relay) ChooseBy(choose func() Source) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.choose = choose
 }
 
-// Counts returns the use so far.
+// Counts returns the counts since the relay was created.
 func (r *Relay) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts
 }
 
-// Read implements cottonlanding.Feed. One goroutine reads at a time.
+// Read implements cottonlanding.Feed. It must be called from one goroutine at a time.
 func (r *Relay) Read(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
 	if source := r.currentSource(); source != nil {
 		reading, err := r.request(ctx, source, version)
@@ -131,7 +127,7 @@
 	return r.readFeed(ctx, version, wait)
 }
 
-// currentSource returns the source to ask, or nil while the feed is to be read.
+// currentSource returns the source to use, or nil if the feed is to be read.
 func (r *Relay) currentSource() Source {
 	r.mu.Lock()
 	choose := r.choose
@@ -146,7 +142,7 @@
 	return source
 }
 
-// request asks a source for what changed after a version.
+// request requests the changes after a version from a source.
 func (r *Relay) request(ctx context.Context, source Source, version cottonlanding.Version) (cottonlanding.FeedReading, error) {
 	timeout := r.timing.RequestTimeout
 	if version == 0 {
@@ -160,8 +156,8 @@
 		return cottonlanding.FeedReading{}, err
 	}
 	reading := response.News
-	// The question can't have arrived before it was sent, so that this is no later than the
-	// source asked for its reading.
+	// The request can't have arrived before it was sent, so that this is no later than the time at which the source
+	// started its reading.
 	reading.At = sent - response.Age
 	if age := r.deps.Clock.Now() - reading.At; age > r.timing.MaxAge {
 		return cottonlanding.FeedReading{}, &staleError{age}
@@ -169,12 +165,12 @@
 	if known := r.version(); reading.Whole && reading.Version < known {
 		return cottonlanding.FeedReading{}, &outdatedError{reading.Version, known}
 	}
-	reading.Version = max(reading.Version, version) // a source that is behind takes nothing back
+	reading.Version = max(reading.Version, version) // an outdated source doesn't set the version back
 	r.recordDirect(false, nil)
 	return r.apply(reading, func(c *Counts) { c.Relayed, c.RelayedRows = c.Relayed+1, c.RelayedRows+int64(len(reading.Rows)) }), nil
 }
 
-// version returns up to where the table is known here.
+// version returns the version of the table known to this process.
 func (r *Relay) version() cottonlanding.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,7 +187,7 @@
 	return r.apply(reading, func(c *Counts) { c.Direct, c.DirectRows = c.Direct+1, c.DirectRows+int64(len(reading.Rows)) }), nil
 }
 
-// recordDirect takes in whether the feed is read in place of a source.
+// recordDirect records whether the feed is read instead of a source, and logs a change.
 func (r *Relay) recordDirect(direct bool, cause error) {
 	if direct {
 		r.directUntil = r.deps.Clock.Now() + r.timing.FallbackPeriod
@@ -202,8 +198,7 @@
 	}
 }
 
-// apply keeps a reading for those who ask this process, and returns it without the entries
-// that say nothing new.
+// apply caches a reading for requests of other processes, and returns it without unchanged entries.
 func (r *Relay) apply(reading cottonlanding.FeedReading, count func(*Counts)) cottonlanding.FeedReading {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -233,8 +228,8 @@
 	return Response{News: readingAfter, Age: arrived - r.tableCache.completeAt}, nil
 }
 
-// awaitFreshReading waits, but no longer than Hold, for the table to be known completely as of an
-// instant, and reports whether it is. A long reading comes in parts.
+// awaitFreshReading waits up to FreshTimeout until the table is completely known as of an instant, and reports whether
+// it is. A long reading consists of several parts, of which only the last completes it.
 func (r *Relay) awaitFreshReading(ctx context.Context, asOf cottonlanding.Millis) bool {
 	ctx, cancel := context.WithTimeout(ctx, r.timing.FreshTimeout.Duration())
 	defer cancel()
--- a/internal/discovery/relayer/relayer_test.go
+++ b/internal/discovery/relayer/relayer_test.go
@@ -22,7 +22,7 @@
 	rewriteInterval = 1500 * cottonlanding.Millis(1)
 )
 
-// The feed tells of maxFeedRows changes at once, in readDuration.
+// The feed returns at most maxFeedRows changes per call, which takes readDuration.
 const (
 	maxFeedRows  = 25
 	readDuration = 20 * time.Millisecond
@@ -30,7 +30,7 @@
 
 var timing = relayer.Timing{RequestTimeout: 700, WholeTimeout: 1500, FeedTimeout: 1000, FreshFor: 150, FreshTimeout: 600, MaxAge: 2 * pollInterval, FallbackPeriod: 2000, Retention: 20_000}
 
-// list is a table of entries of the form "meaning|count of rewrites".
+// list is a table of entries of the form "attributes|version".
 type list struct {
 	clock cottonlanding.Clock
 
@@ -40,7 +40,7 @@
 	version cottonlanding.Version
 	// discardedUpTo is the version up to which the history is gone.
 	discardedUpTo cottonlanding.Version
-	// rowsRead and readings count what was asked of it.
+	// rowsRead and readings count the rows and calls of Read.
 	rowsRead, readings int
 }
 
@@ -54,7 +54,7 @@
 	l.write(key, meaning)
 }
 
-// rewrite writes all entries again, as their workers do to say that they live.
+// rewrite writes all entries again, as workers do as a sign of life.
 func (l *list) rewrite() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,14 +71,14 @@
 	l.changes = append(l.changes, row)
 }
 
-// discardHistory drops the history.
+// discardHistory drops the history, so that older versions can't be continued from.
 func (l *list) discardHistory() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.discardedUpTo = l.version
 }
 
-// counts returns how many readings there were, and of how many rows.
+// counts returns the number of readings and of rows read.
 func (l *list) counts() (readings, rows int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,14 +141,14 @@
 	known   map[string]string
 }
 
-// hasMore reports whether there is more to read at once.
+// hasMore reports whether more changes may be available at once.
 func (r *reader) hasMore() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.more
 }
 
-// lastAttributes returns what an entry said last.
+// lastAttributes returns the last known attributes of an entry.
 func (r *reader) lastAttributes(key string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,7 +156,7 @@
 	return said, found
 }
 
-// knownAt returns as of when the list is known.
+// knownAt returns the time as of which the list is known.
 func (r *reader) knownAt() cottonlanding.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,18 +191,18 @@
 	return nil
 }
 
-// follow reads each poll until ctx ends.
+// follow reads every pollInterval until ctx ends.
 func (r *reader) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		_ = r.read(ctx) // the next one tells
+		_ = r.read(ctx) // after an error the next call reads the whole list
 		if !r.hasMore() {
 			time.Sleep(time.Until(began.Add(pollInterval.Duration())))
 		}
 	}
 }
 
-// unresponsiveSource answers nothing while it is silent.
+// unresponsiveSource doesn't answer while unresponsive is true.
 type unresponsiveSource struct {
 	relayer.Source
 	unresponsive *atomic.Bool
@@ -216,22 +216,21 @@
 	return s.Source.News(ctx, after)
 }
 
-// deployment is some owners of which the first reads for all, and workers that rewrite their
-// entries.
+// deployment is a list of workers that rewrite their entries, and owners of which the first reads for all.
 type deployment struct {
 	*list
 	readers      []*reader
 	unresponsive atomic.Bool
 }
 
-// startInterval is how much later each reader begins than the one before.
+// startInterval is the time between the starts of two readers.
 const startInterval = 70 * time.Millisecond
 
-// simulate runs a house for a while.
+// simulate runs test after the deployment has run for a few seconds.
 func simulate(t *testing.T, owners, workers int, test func(t *testing.T, clock cottonlanding.Clock, h *deployment)) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
-		time.Sleep(time.Second) // an instant of zero is none
+		time.Sleep(time.Second) // the instant zero stands for none
 		h := &deployment{list: newList(clock)}
 		for number := range workers {
 			h.put(fmt.Sprint(number), "ready")
@@ -245,7 +244,7 @@
 				one.ChooseBy(func() relayer.Source { return source })
 			}
 			go one.follow(ctx)
-			time.Sleep(startInterval) // readers poll at phases of their own
+			time.Sleep(startInterval) // readers poll at different times
 		}
 		go func() {
 			for ctx.Err() == nil {
@@ -260,7 +259,7 @@
 	})
 }
 
-// maxAge returns the age of the maxAge list.
+// maxAge returns the age of the oldest list.
 func (h *deployment) maxAge(clock cottonlanding.Clock) cottonlanding.Millis {
 	highest := cottonlanding.Millis(0)
 	for _, one := range h.readers {
@@ -269,8 +268,8 @@
 	return highest
 }
 
-// TestEntriesReadOnceForAllOwners is the growth of what is read of the table: it must be
-// that of the workers, whatever the number of owners.
+// TestEntriesReadOnceForAllOwners guards against reads of the table that grow with the number of owners: the rows read
+// depend on the number of workers only.
 func TestEntriesReadOnceForAllOwners(t *testing.T) {
 	const workers, seconds = 60, 12
 	read := make(map[int]int)
@@ -287,12 +286,12 @@
 	}
 	rewrites := seconds * workers * int(cottonlanding.Second) / int(rewriteInterval)
 	for owners, rows := range read {
-		require.InDelta(t, rewrites, rows, workers, "%d owners", owners) // one beat more or less
+		require.InDelta(t, rewrites, rows, workers, "%d owners", owners) // one rewrite more or less
 	}
 }
 
-// TestChangesReachAllOwners checks that changes, removals and returns of an entry come to all
-// owners with the next reading.
+// TestChangesReachAllOwners guards against changes, removals or returns of an entry that are lost on the way to an
+// owner, also after the history is gone.
 func TestChangesReachAllOwners(t *testing.T) {
 	simulate(t, 5, 4, func(t *testing.T, _ cottonlanding.Clock, h *deployment) {
 		all := func(key, said string, there bool) {
@@ -320,9 +319,8 @@
 	})
 }
 
-// TestListStaysFreshWhileSourceUnresponsive checks that owners go on from where they are while the
-// source is silent or cut off from the table, without a reading of the whole list, and come
-// back to it.
+// TestListStaysFreshWhileSourceUnresponsive guards against lists that age, or are read whole, while the source doesn't
+// answer. Owners continue from their versions with the feed, and return to the source once it answers.
 func TestListStaysFreshWhileSourceUnresponsive(t *testing.T) {
 	simulate(t, 4, 20, func(t *testing.T, clock cottonlanding.Clock, h *deployment) {
 		const startsWaitFrom = 1500 * cottonlanding.Millis(1)
@@ -343,12 +341,12 @@
 		time.Sleep(5 * time.Second)
 		after, _ := h.counts()
 		pages := 5*int(cottonlanding.Second/rewriteInterval) + 1
-		require.LessOrEqual(t, after-before, 5*int(cottonlanding.Second/pollInterval)+pages, "one reads for all again")
+		require.LessOrEqual(t, after-before, 5*int(cottonlanding.Second/pollInterval)+pages, "only the source reads the feed again")
 	})
 }
 
-// TestStaleSourceRejected checks that a source that can't read the table any more is
-// left, and that one that knows less takes nothing back.
+// TestStaleSourceRejected guards against a source that can't read the table any more but still answers, and against
+// an outdated source that reverts changes.
 func TestStaleSourceRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
@@ -364,9 +362,9 @@
 		follower.ChooseBy(func() relayer.Source { return source })
 		require.NoError(t, follower.read(ctx))
 		require.Equal(t, "draining", follower.known["1"])
-		follower.version = 0 // as after a history that is gone
+		follower.version = 0 // as after the history is gone
 		require.NoError(t, follower.read(ctx))
-		require.Equal(t, "draining", follower.known["1"], "an older whole list takes nothing back")
+		require.Equal(t, "draining", follower.known["1"], "an older whole list reverts nothing")
 
 		require.NoError(t, source.read(ctx))
 		time.Sleep(timing.MaxAge.Duration() + time.Second)
@@ -376,8 +374,7 @@
 	})
 }
 
-// TestSourceUnavailableBeforeFirstReading checks that nobody takes an empty list from a process that
-// hasn't read one.
+// TestSourceUnavailableBeforeFirstReading guards against an empty list from a process that hasn't read the list yet.
 func TestSourceUnavailableBeforeFirstReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
