--- a/internal/discovery/relayer/relayer.go
+++ b/internal/discovery/relayer/relayer.go
@@ -198,7 +198,8 @@
 	}
 }
 
-// apply caches a reading for requests of other processes, and returns it without unchanged entries.
+// apply caches a reading for requests of other processes. It returns the reading without unchanged entries, unless it
+// is a whole one.
 func (r *Relay) apply(reading cottonlanding.FeedReading, count func(*Counts)) cottonlanding.FeedReading {
 	r.mu.Lock()
 	defer r.mu.Unlock()
