--- a/internal/operators/recorder/recorder.go
+++ b/internal/operators/recorder/recorder.go
@@ -1,4 +1,4 @@
-// Package recorder holds which data centres the operators want evacuated.
+// Package recorder keeps the evacuations of data centres that operators have ordered.
 package recorder
 
 import (
@@ -10,9 +10,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Recorder holds which data centres the operators want evacuated. The row alone orders an
-// evacuation, whatever its value, and its removal takes it back. A reading that is older than
-// what is known of a data centre changes nothing.
+// Recorder keeps the evacuations in force. The existence of a row orders an evacuation, whatever its value, and its
+// removal ends it. A row older than the last known version of its data centre is ignored.
 type Recorder struct {
 	prefix string
 	clock  cottonlanding.Clock
@@ -20,12 +19,11 @@
 
 	mu      sync.Mutex
 	current cottonlanding.Evacuations
-	// versions holds as of which version it is known whether a data centre is evacuated.
+	// versions holds the version as of which the state of each data centre is known.
 	versions map[cottonlanding.DataCentre]cottonlanding.Version
 }
 
-// New returns a recorder of no reading yet. The prefix begins the keys of evacuations; the data
-// centre follows.
+// New returns a recorder without any reading. The key of an evacuation is prefix followed by the data centre.
 func New(prefix string, clock cottonlanding.Clock, log *slog.Logger) *Recorder {
 	return &Recorder{
 		prefix:   prefix,
@@ -35,23 +33,23 @@
 	}
 }
 
-// Current returns the newest state.
+// Current returns the evacuations in force and when they were read. The caller must not change the map.
 func (r *Recorder) Current() cottonlanding.Evacuations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current
 }
 
-// Take takes in a reading of the operators' table.
-func (r *Recorder) Take(news cottonlanding.FeedReading) {
+// Apply merges a reading of the operators' table. Rows of other kinds are ignored.
+func (r *Recorder) Apply(reading cottonlanding.FeedReading) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ordered := maps.Clone(r.current.InForce)
-	if ordered == nil {
-		ordered = make(map[cottonlanding.DataCentre]cottonlanding.Evacuation)
+	inForce := maps.Clone(r.current.InForce)
+	if inForce == nil {
+		inForce = make(map[cottonlanding.DataCentre]cottonlanding.Evacuation)
 	}
-	named := make(map[cottonlanding.DataCentre]bool)
-	for _, row := range news.Rows {
+	present := make(map[cottonlanding.DataCentre]bool)
+	for _, row := range reading.Rows {
 		name, found := strings.CutPrefix(row.Key, r.prefix)
 		if !found {
 			continue
@@ -61,36 +59,36 @@
 			continue
 		}
 		dataCentre := cottonlanding.DataCentre(name)
-		named[dataCentre] = true
-		r.note(ordered, dataCentre, row.Version, !row.Deleted)
+		present[dataCentre] = true
+		r.set(inForce, dataCentre, row.Version, !row.Deleted)
 	}
-	if news.Whole {
+	if reading.Whole {
 		for dataCentre := range r.current.InForce {
-			if !named[dataCentre] {
-				r.note(ordered, dataCentre, news.Version, false)
+			if !present[dataCentre] {
+				r.set(inForce, dataCentre, reading.Version, false)
 			}
 		}
 	}
-	r.current = cottonlanding.Evacuations{ReadAt: max(r.current.ReadAt, news.At), InForce: ordered}
+	r.current = cottonlanding.Evacuations{ReadAt: max(r.current.ReadAt, reading.At), InForce: inForce}
 }
 
-// note takes in whether a data centre is evacuated as of a version.
-func (r *Recorder) note(ordered map[cottonlanding.DataCentre]cottonlanding.Evacuation, dataCentre cottonlanding.DataCentre, version cottonlanding.Version, evacuated bool) {
+// set records in inForce whether a data centre is evacuated as of version. The caller holds the lock.
+func (r *Recorder) set(inForce map[cottonlanding.DataCentre]cottonlanding.Evacuation, dataCentre cottonlanding.DataCentre, version cottonlanding.Version, evacuated bool) {
 	if version < r.versions[dataCentre] {
 		return
 	}
 	r.versions[dataCentre] = version
-	known, before := ordered[dataCentre]
+	last, found := inForce[dataCentre]
 	if !evacuated {
-		delete(ordered, dataCentre)
-		if before {
-			r.log.Info("evacuation over", "DataCentre", dataCentre, "Version", version, "KnownFor", r.clock.Now()-known.KnownAt)
+		delete(inForce, dataCentre)
+		if found {
+			r.log.Info("evacuation over", "DataCentre", dataCentre, "Version", version, "KnownFor", r.clock.Now()-last.KnownAt)
 		}
 		return
 	}
-	if before && known.Version == version {
+	if found && last.Version == version {
 		return
 	}
-	ordered[dataCentre] = cottonlanding.Evacuation{DataCentre: dataCentre, Version: version, KnownAt: r.clock.Now()}
+	inForce[dataCentre] = cottonlanding.Evacuation{DataCentre: dataCentre, Version: version, KnownAt: r.clock.Now()}
 	r.log.Info("evacuation known", "DataCentre", dataCentre, "Version", version)
 }
--- a/internal/operators/sharer/copy.go
+++ b/internal/operators/sharer/copy.go
@@ -11,51 +11,51 @@
 )
 
 const (
-	// mostPacked is the longest copy that is written, in bytes: the table takes rows of 64 KiB, with
-	// what is put before the value.
-	mostPacked = 65_000
-	// mostUnpacked bounds what a copy may come to: a broken one must not take all memory.
-	mostUnpacked = 16 << 20
+	// maxPacked is the maximum length of a written copy, in bytes: the table accepts rows of 64 KiB, including
+	// what precedes the value.
+	maxPacked = 65_000
+	// maxUnpacked is the maximum unpacked length, in bytes, so that a broken copy can't exhaust memory.
+	maxUnpacked = 16 << 20
 )
 
-// tableCopy is the operators' table as of a version.
+// tableCopy is the operators' table as of a version. It is encoded with gob under the names of its fields.
 type tableCopy struct {
 	Version cottonlanding.Version
 	Rows    []cottonlanding.FeedRow
 }
 
-// pack returns a copy as it is written into a row. Operators' rows are texts that repeat
-// themselves, of which some seventh is left.
+// pack encodes a copy as it is stored in a row. Operators' rows are repetitive texts, which compress to about a
+// seventh. It returns an error if the result is longer than maxPacked.
 func (c tableCopy) pack() ([]byte, error) {
 	var out bytes.Buffer
-	packer := gzip.NewWriter(&out)
-	if err := gob.NewEncoder(packer).Encode(c); err != nil {
+	compressor := gzip.NewWriter(&out)
+	if err := gob.NewEncoder(compressor).Encode(c); err != nil {
 		return nil, fmt.Errorf("encode a copy: %w", err)
 	}
-	if err := packer.Close(); err != nil {
+	if err := compressor.Close(); err != nil {
 		return nil, fmt.Errorf("pack a copy: %w", err)
 	}
-	if out.Len() > mostPacked {
-		return nil, fmt.Errorf("a copy has %d bytes, at most %d can be written", out.Len(), mostPacked)
+	if out.Len() > maxPacked {
+		return nil, fmt.Errorf("a copy has %d bytes, at most %d can be written", out.Len(), maxPacked)
 	}
 	return out.Bytes(), nil
 }
 
-// unpack returns the copy that a row holds.
+// unpack decodes the copy that a row holds.
 func unpack(packed []byte) (tableCopy, error) {
-	unpacker, err := gzip.NewReader(bytes.NewReader(packed))
+	decompressor, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return tableCopy{}, fmt.Errorf("unpack a copy: %w", err)
 	}
 	var out tableCopy
-	if err := gob.NewDecoder(io.LimitReader(unpacker, mostUnpacked)).Decode(&out); err != nil {
+	if err := gob.NewDecoder(io.LimitReader(decompressor, maxUnpacked)).Decode(&out); err != nil {
 		return tableCopy{}, fmt.Errorf("decode a copy: %w", err)
 	}
 	return out, nil
 }
 
-// reading returns the copy as a reading of the whole table. It doesn't say as of when on this
-// host's clock the table is known: that is for the host's own looks.
-func (c tableCopy) reading() cottonlanding.FeedReading {
+// asReading returns the copy as a reading of the whole table. At stays zero: only a host's own reads of the table
+// establish the time as of which it is known.
+func (c tableCopy) asReading() cottonlanding.FeedReading {
 	return cottonlanding.FeedReading{Rows: c.Rows, Whole: true, Version: c.Version}
 }
--- a/internal/operators/sharer/sharer.go
+++ b/internal/operators/sharer/sharer.go
@@ -1,10 +1,10 @@
 // Package sharer lets hosts read the operators' table from a packed copy.
 //
-// What operators write is long, and each host must know of each change: read by each host, a change
-// costs its length times the hosts. Here the owner of the first cell writes a packed copy into a row of
-// whose changes the table tells all hosts anyway. Hosts that own nothing wait for it, and look at the
-// table themselves as often as they would without it: then most looks find nothing new, and a
-// copy that is late, old, broken or missing costs bytes but no time.
+// Operators' rows are long, and each host must learn of each change: if every host read it from the table, a change
+// would cost its length times the number of hosts. Instead the owner of the first cell writes a packed copy into a
+// watched row, whose changes the table sends to all hosts anyway. Hosts that own no cell wait for the copy
+// and still read the table as often as they would without it. Most of these reads find nothing new, and a copy that is
+// late, outdated, broken or missing costs bytes but no time.
 package sharer
 
 import (
@@ -23,48 +23,49 @@
 )
 
 const (
-	// writeGap is the shortest time between two copies: of changes in quick succession most are
-	// out of date before all hosts have read them.
-	writeGap = 250 * cottonlanding.Millis(1)
-	// writeTimeout bounds the write of a copy.
+	// writeInterval is the minimum time between two copies: of changes in quick succession most are outdated
+	// before all hosts have read them.
+	writeInterval = 250 * cottonlanding.Millis(1)
+	// writeTimeout is the timeout for writing a copy.
 	writeTimeout = cottonlanding.Second
 )
 
-// Watcher tells of the changes of watched rows.
+// Watcher follows the watched rows.
 type Watcher interface {
+	// Row returns the row as last received, and whether it exists.
 	Row(key cottonlanding.Key) (cottonlanding.Row, bool)
+	// Listen makes the watcher call listener after each change of the row.
 	Listen(key cottonlanding.Key, listener func())
 }
 
-// Dependencies are what a sharer works with.
+// Dependencies are the dependencies of a sharer.
 type Dependencies struct {
 	// Feed is the operators' table itself.
 	Feed cottonlanding.Feed
-	// Table holds the copy in the watched row Key, Roll tells of it.
+	// Table holds the copy in the watched row Key, and Watcher reports its changes.
 	Table   cottonlanding.Table
 	Key     cottonlanding.Key
 	Watcher Watcher
 	Clock   cottonlanding.Clock
 	Log     *slog.Logger
-	// Writes reports whether this host writes copies, Waits whether it waits for them.
-	Writes func() bool
-	Waits  func() bool
+	// WritesCopies reports whether this host writes copies, AwaitsCopies whether it waits for them.
+	WritesCopies func() bool
+	AwaitsCopies func() bool
 }
 
-// Sharer reads the operators' table, or a copy of it. It implements cottonlanding.Feed for one
-// reader at a time.
+// Sharer reads the operators' table or a copy of it. It implements cottonlanding.Feed for one reader at a time.
 type Sharer struct {
 	deps Dependencies
-	// came holds a signal when there is another copy, changed when there is something to copy.
-	came    waker.Waker
-	changed waker.Waker
+	// copyArrived is woken when the row of the copy changes, tableChanged when there is a change to copy.
+	copyArrived  waker.Waker
+	tableChanged waker.Waker
 
-	// The fields below belong to the reader's goroutine.
-	// lookedAt is when this host last looked at the table itself.
-	lookedAt cottonlanding.Millis
-	// newest is the newest copy that could be read, from row version newestRow on.
-	newest    tableCopy
-	newestRow cottonlanding.Version
+	// The fields up to mu belong to the reader's goroutine.
+	// tableReadAt is when this host last read the table itself.
+	tableReadAt cottonlanding.Millis
+	// newest is the newest readable copy, newestRowVersion the version of the last row that was examined.
+	newest           tableCopy
+	newestRowVersion cottonlanding.Version
 
 	mu      sync.Mutex
 	rows    map[string]cottonlanding.FeedRow
@@ -72,30 +73,30 @@
 	counts  Counts
 }
 
-// Counts counts what a sharer has read and written.
+// Counts counts the reads and writes of a sharer.
 type Counts struct {
-	// Copies counts the copies that told something new, Looks the readings of the table itself,
-	// News those of them that told something new.
-	Copies, Looks, News int
-	// Written counts the copies that this host wrote.
-	Written int
+	// CopiesRead counts the copies with changes, TableReads the reads of the table itself, TableReadsWithChanges
+	// those of them that returned changes.
+	CopiesRead, TableReads, TableReadsWithChanges int
+	// CopiesWritten counts the copies that this host wrote.
+	CopiesWritten int
 }
 
 // New returns a sharer that writes copies until ctx ends.
 func New(ctx context.Context, deps Dependencies) *Sharer {
 	s := &Sharer{
-		deps:    deps,
-		came:    waker.New(),
-		changed: waker.New(),
-		rows:    make(map[string]cottonlanding.FeedRow),
+		deps:         deps,
+		copyArrived:  waker.New(),
+		tableChanged: waker.New(),
+		rows:         make(map[string]cottonlanding.FeedRow),
 	}
-	deps.Watcher.Listen(deps.Key, s.came.Wake)
+	deps.Watcher.Listen(deps.Key, s.copyArrived.Wake)
 	go func() {
 		for ctx.Err() == nil {
 			select {
-			case <-s.changed:
+			case <-s.tableChanged:
 				s.write(ctx)
-				pauser.Pause(ctx, writeGap)
+				pauser.Pause(ctx, writeInterval)
 			case <-ctx.Done():
 			}
 		}
@@ -103,28 +104,28 @@
 	return s
 }
 
-// Read implements cottonlanding.Feed. What isn't known at all is read from the table.
+// Read implements cottonlanding.Feed. With version zero it always reads the table itself.
 func (s *Sharer) Read(ctx context.Context, version cottonlanding.Version, wait cottonlanding.Millis) (cottonlanding.FeedReading, error) {
-	if version > 0 && s.deps.Waits() {
-		if s.await(ctx, version, wait) {
-			news := s.newest.reading()
-			s.note(news)
-			s.count(func(c *Counts) { c.Copies++ })
-			return news, nil
+	if version > 0 && s.deps.AwaitsCopies() {
+		if s.awaitCopy(ctx, version, wait) {
+			reading := s.newest.asReading()
+			s.apply(reading)
+			s.count(func(c *Counts) { c.CopiesRead++ })
+			return reading, nil
 		}
 		wait = 0
 	}
-	s.lookedAt = s.deps.Clock.Now()
-	news, err := s.deps.Feed.Read(ctx, version, wait)
+	s.tableReadAt = s.deps.Clock.Now()
+	reading, err := s.deps.Feed.Read(ctx, version, wait)
 	if err != nil {
 		return cottonlanding.FeedReading{}, err
 	}
-	s.note(news)
+	s.apply(reading)
 	s.count(func(c *Counts) {
-		c.Looks++
-		c.News += min(1, len(news.Rows))
+		c.TableReads++
+		c.TableReadsWithChanges += min(1, len(reading.Rows))
 	})
-	return news, nil
+	return reading, nil
 }
 
 // Counts returns what was counted so far.
@@ -140,23 +141,23 @@
 	add(&s.counts)
 }
 
-// await waits for a copy that is newer than version, until the next look is due. It reports
-// whether there is one.
-func (s *Sharer) await(ctx context.Context, version cottonlanding.Version, lookEvery cottonlanding.Millis) bool {
-	left := s.lookedAt + lookEvery - s.deps.Clock.Now()
-	if left <= 0 {
+// awaitCopy waits for a copy that is newer than version, until interval has passed since the last read of the table.
+// It reports whether there is one.
+func (s *Sharer) awaitCopy(ctx context.Context, version cottonlanding.Version, interval cottonlanding.Millis) bool {
+	remaining := s.tableReadAt + interval - s.deps.Clock.Now()
+	if remaining <= 0 {
 		return false
 	}
-	due := time.NewTimer(left.Duration())
-	defer due.Stop()
+	timer := time.NewTimer(remaining.Duration())
+	defer timer.Stop()
 	for {
 		select {
-		case <-s.came:
-			s.takeCopy()
+		case <-s.copyArrived:
+			s.loadCopy()
 			if s.newest.Version > version {
 				return true
 			}
-		case <-due.C:
+		case <-timer.C:
 			return false
 		case <-ctx.Done():
 			return false
@@ -164,13 +165,13 @@
 	}
 }
 
-// takeCopy takes in the copy that was last written. One that can't be read changes nothing.
-func (s *Sharer) takeCopy() {
+// loadCopy loads the copy from its row if that has changed. An unreadable or older copy is ignored.
+func (s *Sharer) loadCopy() {
 	row, _ := s.deps.Watcher.Row(s.deps.Key)
-	if row.Version <= s.newestRow {
+	if row.Version <= s.newestRowVersion {
 		return
 	}
-	s.newestRow = row.Version
+	s.newestRowVersion = row.Version
 	next, err := unpack(row.Value)
 	if err != nil {
 		s.deps.Log.Error("copy of the operators' table refused", "Version", row.Version, "Error", err)
@@ -181,28 +182,28 @@
 	}
 }
 
-// note takes in a reading, and has it copied if that is this host's part.
-func (s *Sharer) note(news cottonlanding.FeedReading) {
+// apply merges a reading and schedules a copy if this host writes copies.
+func (s *Sharer) apply(reading cottonlanding.FeedReading) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if news.Whole {
+	if reading.Whole {
 		clear(s.rows)
 	}
-	for _, row := range news.Rows {
+	for _, row := range reading.Rows {
 		if row.Deleted {
 			delete(s.rows, row.Key)
 			continue
 		}
 		s.rows[row.Key] = row
 	}
-	s.version = news.Version
-	if len(news.Rows) > 0 && s.deps.Writes() {
-		s.changed.Wake()
+	s.version = reading.Version
+	if len(reading.Rows) > 0 && s.deps.WritesCopies() {
+		s.tableChanged.Wake()
 	}
 }
 
-// copyNow returns a copy of the table as it is known.
-func (s *Sharer) copyNow() tableCopy {
+// currentCopy returns a copy of the table as known to this host.
+func (s *Sharer) currentCopy() tableCopy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := tableCopy{Version: s.version}
@@ -212,9 +213,9 @@
 	return out
 }
 
-// write writes a copy. After a failure hosts look for themselves.
+// write writes a copy. After a failure the other hosts learn of the change by their own reads of the table.
 func (s *Sharer) write(ctx context.Context) {
-	next := s.copyNow()
+	next := s.currentCopy()
 	packed, err := next.pack()
 	if err != nil {
 		s.deps.Log.Warn("operators' table isn't copied", "Version", next.Version, "Error", err)
@@ -231,6 +232,6 @@
 		s.deps.Log.Warn("operators' table isn't copied", "Version", next.Version, "Error", err)
 		return
 	}
-	s.count(func(c *Counts) { c.Written++ })
+	s.count(func(c *Counts) { c.CopiesWritten++ })
 	s.deps.Log.Info("operators' table copied", "Version", next.Version, "Bytes", len(packed))
 }
