--- a/internal/workflow/gateway/backlog_test.go
+++ b/internal/workflow/gateway/backlog_test.go
@@ -11,7 +11,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/partitioner"
 )
 
-// shortWorkflowAt is a workflow of short tasks whose home is a cell.
+// shortWorkflowAt returns a workflow of short tasks whose home is the given cell.
 func shortWorkflowAt(home cottonlanding.CellNumber, name string, tasks int) cottonlanding.Workflow {
 	layout := partitioner.Layout{Cells: cells}
 	w := workflow("")
@@ -25,17 +25,16 @@
 	}
 }
 
-// A lasting workflow waits at a home that is full, whose workers are then cut off. In the other
-// cells it would begin at once: their work is short, each task ends within a tenth of a second, and a
-// lasting one goes before it. But short tasks that wait there count as room that is taken, so that
-// no cell seems to have room for as long as some wait, and the workflow isn't handed over.
+// TestLastingWorkflowLeavesSilentHome guards against a lasting workflow that stays at a full home whose workers have
+// become unreachable, although it could start at once in other cells: their short tasks end within 0.1 s, and a lasting
+// task goes before them. Short tasks that wait count as used capacity, so that no cell appeared to have room.
 func TestLastingWorkflowLeavesSilentHome(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
 	const perCell = 32
 	d.submit(0, lastingWorkflowAt(0, "fills", perCell))
 	require.Eventually(t, func() bool { return d.runner.Lasting() == perCell }, 10*time.Second, 10*time.Millisecond)
-	time.Sleep(time.Second) // all know by then what is left
+	time.Sleep(time.Second) // every host has read the capacity reports
 	for home := cottonlanding.CellNumber(1); home < cells; home++ {
 		for number := range 8 {
 			d.submit(0, shortWorkflowAt(home, fmt.Sprintf("%d-%d", home, number), 500))
@@ -46,5 +45,5 @@
 	for _, worker := range d.workers[:d.perCell] {
 		d.runner.Dark(worker.ID, true)
 	}
-	require.Eventually(t, func() bool { return d.state(0, waits.ID) == cottonlanding.WorkflowRunning }, 8*time.Second, 10*time.Millisecond, "it begins")
+	require.Eventually(t, func() bool { return d.state(0, waits.ID) == cottonlanding.WorkflowRunning }, 8*time.Second, 10*time.Millisecond, "the waiting workflow starts in another cell")
 }
--- a/internal/workflow/gateway/cellroom.go
+++ b/internal/workflow/gateway/cellroom.go
@@ -8,30 +8,28 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// maxReportLag is how long what was referred to a cell may be missing from what its owner
-// tells: until it is committed here and there, told with a beat, and that is read here.
-// Where hundreds of lasting workflows come within a second, a shorter span has cells take more of
-// them than they can hold, for good.
+// maxReportLag is how long referred work may be missing from the report of the cell's owner: until the work is committed
+// in both cells, the owner reports it with a heartbeat, and this host has read that. If hundreds of lasting workflows
+// arrive within a second, a shorter time lets cells take more of them than they can ever run.
 const maxReportLag = 2 * cottonlanding.Second
 
-// referredLoad is what this host has referred to a cell of late: the processors that its
-// first steps ask for.
+// referredLoad is the CPU that recently referred or delegated work requests at first.
 type referredLoad struct {
 	at cottonlanding.Millis
-	// reserved is those for which the work has room reserved, filling those that its filling
-	// tasks use; lasting is the part of reserved that its lasting tasks hold.
+	// reserved is the CPU that the work reserves, filling what its filling tasks use; lasting is the part of reserved
+	// that lasting tasks need.
 	reserved, filling, lasting cottonlanding.Millicores
-	// delegated is what a lasting task asks for that was delegated there, on a worker of service.
+	// delegated is the CPU of a delegated lasting task that runs on a worker of service.
 	delegated cottonlanding.Millicores
 	service   cottonlanding.ServiceName
 }
 
-// recordReferred takes in that a workflow was referred to this cell.
+// recordReferred records that a workflow was referred to this cell.
 func (p *participant) recordReferred(workflow cottonlanding.Workflow, now cottonlanding.Millis) {
 	work := referredLoad{at: now, lasting: lastingCPU(workflow, allTasks)}
 	for _, step := range workflow.Steps {
 		if len(step.After) > 0 {
-			continue // it waits for others first
+			continue // it starts after other steps
 		}
 		cpu := cottonlanding.Millicores(step.Tasks) * step.Resources.CPU
 		if step.Fills {
@@ -45,8 +43,8 @@
 	p.referred = append(p.referred, work)
 }
 
-// lastingCPU adds up the processors that lasting tasks of a workflow have reserved at first; tasks
-// says how many of a step's tasks count.
+// lastingCPU returns the CPU that the lasting tasks of a workflow's first steps reserve. The function tasks returns how
+// many tasks of a step count.
 func lastingCPU(workflow cottonlanding.Workflow, tasks func(cottonlanding.Step) int) cottonlanding.Millicores {
 	sum := cottonlanding.Millicores(0)
 	for _, step := range workflow.Steps {
@@ -59,7 +57,7 @@
 
 func allTasks(step cottonlanding.Step) int { return step.Tasks }
 
-// minTasks counts as few tasks as can begin.
+// minTasks returns the minimum number of tasks with which a step can start.
 func minTasks(step cottonlanding.Step) int {
 	if step.Gang {
 		return step.Tasks
@@ -67,20 +65,19 @@
 	return min(step.Tasks, 1)
 }
 
-// otherCell is what is known here of the room of another cell.
+// otherCell is the capacity of another cell, as known here.
 type otherCell struct {
 	cottonlanding.CellView
 	capacity cottonlanding.Millicores
-	// lasting is the part of it that lasting tasks hold or wait for.
+	// lasting is the fraction of capacity that lasting tasks use or wait for.
 	lasting float64
-	// largest is what its worker with the most free processors has free, holes what single workers have,
-	// both by service.
+	// largest is what the worker with the most free CPU has free, holes the free CPU of single workers, both by service.
 	largest map[cottonlanding.ServiceName]cottonlanding.Resources
 	holes   map[cottonlanding.ServiceName][]cottonlanding.Millicores
 }
 
-// deductReferred returns a cell without the room of what was referred here and may not be told of
-// yet. Each home sees what it has referred itself; the others are taken to do the same.
+// deductReferred subtracts recently referred work from a cell's capacity, since the owner's report may not include it
+// yet. Each home knows only its own referrals and assumes that all homes refer as much.
 func (p *participant) deductReferred(cell otherCell, homes int, now cottonlanding.Millis) otherCell {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,12 +89,12 @@
 		cell.Free -= float64(homes) * float64(work.reserved) / float64(cell.capacity)
 		cell.Spare -= float64(homes) * float64(work.filling) / float64(cell.capacity)
 		cell.lasting += float64(homes) * float64(work.lasting) / float64(cell.capacity)
-		cell.deductDelegated(work.service, work.delegated) // few homes delegate at a time
+		cell.deductDelegated(work.service, work.delegated) // not multiplied: few homes delegate at a time
 	}
 	return cell
 }
 
-// deductDelegated takes in that a task was delegated to the cell: it goes to the smallest hole that is large enough.
+// deductDelegated subtracts a delegated task from the cell's capacity, from the smallest hole that fits it.
 func (o *otherCell) deductDelegated(service cottonlanding.ServiceName, cpu cottonlanding.Millicores) {
 	if cpu == 0 {
 		return
@@ -115,7 +112,7 @@
 	}
 }
 
-// hole returns what the worker with the most free processors has left beside what was delegated to the cell.
+// hole returns the most free CPU of a single worker, with delegated tasks subtracted.
 func (o otherCell) hole(service cottonlanding.ServiceName) cottonlanding.Millicores {
 	most := cottonlanding.Millicores(0)
 	for _, hole := range o.holes[service] {
@@ -124,8 +121,8 @@
 	return most
 }
 
-// encodeReport returns what the owner tells of its cell with each beat: what is left of it, or
-// nothing while that isn't known.
+// encodeReport returns the report of the cell's capacity that the owner adds to each heartbeat, or nil while the
+// capacity isn't known.
 func (p *participant) encodeReport() []byte {
 	local := p.local()
 	if local == nil {
@@ -137,29 +134,29 @@
 	}
 	data, err := json.Marshal(report)
 	if err != nil {
-		p.gateway.deps.Log.Error("what is left of the cell isn't told", "Cell", p.cell, "Error", err)
+		p.gateway.deps.Log.Error("could not encode the capacity report of the cell", "Cell", p.cell, "Error", err)
 		return nil
 	}
 	return data
 }
 
-// view returns what is known here of the room of another cell.
+// view returns the capacity of this participant's cell for another cell, with referred work subtracted.
 func (p *participant) view(homes int, now cottonlanding.Millis) otherCell {
 	latestReport, usable := p.latestReport()
 	cell := otherCell{viewOf(p.cell, latestReport, usable), latestReport.Capacity, latestReport.Lasting, latestReport.Largest, make(map[cottonlanding.ServiceName][]cottonlanding.Millicores)}
 	for service, holes := range latestReport.Holes {
-		cell.holes[service] = slices.Clone(holes) // what is delegated is deducted
+		cell.holes[service] = slices.Clone(holes) // deductDelegated changes it
 	}
 	return p.deductReferred(cell, homes, now)
 }
 
-// fitsLasting reports whether the cell has room for lasting tasks, now or once shorter ones end.
+// fitsLasting reports whether the cell has capacity for lasting tasks, now or once tasks that don't last have ended.
 func (o otherCell) fitsLasting(cpu cottonlanding.Millicores) bool {
 	return cpu == 0 || o.Usable && o.lasting+float64(cpu)/float64(o.capacity) <= 1
 }
 
-// cellsWithLastingRoom returns the cells with room for all lasting tasks of a workflow or, if there are
-// none, those with room for some.
+// cellsWithLastingRoom returns the cells with capacity for all lasting tasks of a workflow or, if there are none, those
+// with capacity for the fewest with which it can start.
 func cellsWithLastingRoom(workflow cottonlanding.Workflow, others []otherCell) []otherCell {
 	for _, tasks := range []func(cottonlanding.Step) int{allTasks, minTasks} {
 		cpu := lastingCPU(workflow, tasks)
@@ -171,7 +168,8 @@
 	return nil
 }
 
-// latestReport returns what the owner of the cell told last, here or with its beat.
+// latestReport returns the last capacity report of the cell's owner, local or from its heartbeat, and whether it is
+// usable.
 func (p *participant) latestReport() (planner.Report, bool) {
 	if local := p.local(); local != nil {
 		return local.Report()
@@ -182,7 +180,7 @@
 	}
 	var latestReport planner.Report
 	if err := json.Unmarshal(known.Report, &latestReport); err != nil {
-		p.gateway.deps.Log.Warn("report of another cell", "Cell", p.cell, "Error", err)
+		p.gateway.deps.Log.Warn("could not decode the capacity report of another cell", "Cell", p.cell, "Error", err)
 		return planner.Report{}, false
 	}
 	return latestReport, true
@@ -192,14 +190,14 @@
 	return cottonlanding.CellView{Cell: cell, Usable: usable, Free: report.Free, Spare: report.Spare}
 }
 
-// refer returns the cell that is to keep a new workflow of this home.
+// refer returns the cell to which a new workflow of this home cell is referred, and false if it stays.
 func (p *participant) refer(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
 	return p.choose(workflow, report, usable, p.others())
 }
 
-// move returns the cell to which a workflow that waits at this home is to go. It can't leave
-// that again, since only its home says where it is: with lasting tasks it waits here until a cell
-// has room for them, rather than where less waits.
+// move returns the cell to which a workflow that waits at this home cell is handed over, and false if it stays. A
+// workflow can be handed over only once, since only its home records where it is. Therefore one with lasting tasks
+// waits here until a cell has capacity for them, even if fewer tasks wait elsewhere.
 func (p *participant) move(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
 	return p.choose(workflow, report, usable, cellsWithLastingRoom(workflow, p.others()))
 }
--- a/internal/workflow/gateway/cells_test.go
+++ b/internal/workflow/gateway/cells_test.go
@@ -14,10 +14,10 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// cells is how many cells the deployments of these tests have.
+// cells is the number of cells in the deployments of these tests.
 const cells = 4
 
-// owned counts the cells that hosts own.
+// owned returns the number of owned cells.
 func (d *deployment) owned() int {
 	sum := 0
 	for _, host := range d.hosts {
@@ -39,7 +39,7 @@
 	}, 15*time.Second, 10*time.Millisecond)
 }
 
-// kill ends a host without a word, and starts its next life at another address.
+// kill stops a host without releasing its cells, and starts it again at another address.
 func (d *deployment) kill(host int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -48,14 +48,13 @@
 	d.hosts[host] = d.host(100*d.restarts + host)
 }
 
-// TestCellsSpreadOverHosts checks that no host owns all cells, that workflows are taken, done and
-// shown at every host whatever cell they belong to, and that what waits is counted over
-// all cells.
+// TestCellsSpreadOverHosts guards against a host that owns all cells, a workflow that can't be submitted or queried at a
+// host which doesn't own its cell, and a waiting count that leaves out cells.
 func TestCellsSpreadOverHosts(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
 	for at, host := range d.hosts {
-		require.Less(t, host.Owned(), cells, "host %d owns all", at)
+		require.Less(t, host.Owned(), cells, "host %d owns all cells", at)
 	}
 	for number := range 24 {
 		d.submit(number%3, workflow(cottonlanding.WorkflowID(fmt.Sprintf("w%d", number))))
@@ -63,7 +62,7 @@
 	for number := range 24 {
 		d.requireSuccess((number+1)%3, cottonlanding.WorkflowID(fmt.Sprintf("w%d", number)))
 	}
-	require.Equal(t, 6*24, d.runner.Starts(), "each task runs once")
+	require.Equal(t, 6*24, d.runner.Starts(), "each task starts once")
 
 	const unplaceable = 20
 	for number := range unplaceable {
@@ -78,9 +77,8 @@
 	}
 }
 
-// TestFullCellRefersWorkflows checks that workflows go to cells with room when their home is full,
-// and that each is found again by its id, at any host, also while its home has no owner
-// that could be asked.
+// TestFullCellRefersWorkflows guards against workflows that wait at a full home while other cells have room, and against
+// referred ones that can't be found by their id at each host, also while their home has no owner.
 func TestFullCellRefersWorkflows(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
@@ -104,7 +102,7 @@
 		w := workflow(id)
 		w.Steps = w.Steps[:1]
 		w.Steps[0].Lasting = true
-		d.submit((number+1)%3, w) // once more, as after a lost answer
+		d.submit((number+1)%3, w) // retry, as after a lost response
 		for host := range d.hosts {
 			require.NotEmpty(t, d.state(host, id))
 		}
@@ -133,20 +131,19 @@
 	}
 }
 
-// requireSingleHolder checks that a workflow was accepted once, and once more only if its home has handed it
-// over in between: while that is under way, no cell keeps it.
+// requireSingleHolder requires that a workflow is held by one cell, and was accepted a second time only after its home
+// had handed it over. During a hand-over no cell holds it.
 func (d *deployment) requireSingleHolder(id cottonlanding.WorkflowID) {
 	d.t.Helper()
-	require.Eventually(d.t, func() bool { return d.recorder.history(id).held }, 10*time.Second, 10*time.Millisecond, "workflow %s is kept", id)
+	require.Eventually(d.t, func() bool { return d.recorder.history(id).held }, 10*time.Second, 10*time.Millisecond, "workflow %s is held by a cell", id)
 	require.Empty(d.t, d.recorder.inconsistencies())
 	holders := d.recorder.history(id).holders
-	require.LessOrEqual(d.t, len(holders), 2, "workflow %s moves once: %v", id, holders)
-	require.Len(d.t, slices.Compact(holders), len(holders), "workflow %s goes to another cell: %v", id, holders)
+	require.LessOrEqual(d.t, len(holders), 2, "workflow %s is handed over more than once: %v", id, holders)
+	require.Len(d.t, slices.Compact(holders), len(holders), "workflow %s is handed over to the same cell: %v", id, holders)
 }
 
-// TestOwnersKilledDuringSubmits kills hosts one after another, two at once and all at once, while
-// workflows are handed in, each again until it is taken. No worker runs a task twice, and
-// all that was accepted is done.
+// TestOwnersKilledDuringSubmits guards against accepted workflows that are lost, and tasks that run twice, when one, two
+// or all hosts are killed while clients submit workflows and retry until these are accepted.
 func TestOwnersKilledDuringSubmits(t *testing.T) {
 	random := rand.New(rand.NewSource(20261202))
 	d := deployCells(t, cells)
@@ -169,8 +166,8 @@
 	}
 }
 
-// TestUnreadableLayout checks that a layout that can't be read leaves the last one in
-// force, and is replaced by nobody.
+// TestUnreadableLayout guards against a layout that can't be decoded: the current one must stay in force, nobody may
+// replace the row, and a host that starts meanwhile must refuse calls.
 func TestUnreadableLayout(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
@@ -197,7 +194,7 @@
 		fresh.Close(ctx)
 	}()
 	time.Sleep(500 * time.Millisecond)
-	require.False(t, fresh.Ready(), "a host that knows no layout takes no calls")
+	require.False(t, fresh.Ready(), "a host without a layout is not ready")
 	err = fresh.Submit(context.Background(), workflow("w9"))
 	require.True(t, errors.Is(err, cottonlanding.ErrUnavailable), "%v", err)
 }
--- a/internal/workflow/gateway/delegation.go
+++ b/internal/workflow/gateway/delegation.go
@@ -12,10 +12,10 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// unplacedLogInterval is how often it is logged that no cell has room for a task.
+// unplacedLogInterval is the minimum time between log lines about tasks for which no cell has room.
 const unplacedLogInterval = 4 * cottonlanding.Second
 
-// delegate returns the cells that are to run tasks for which this cell has no room.
+// delegate chooses other cells for tasks that don't fit in this one.
 func (p *participant) delegate(tasks []planner.DelegableTask) []planner.Delegation {
 	policy := p.gateway.settings.Policy.Delegation
 	if policy == nil || len(tasks) == 0 {
@@ -41,8 +41,9 @@
 	return out
 }
 
-// candidatesFor returns the cells that can run the task: those with room in sum or, if there are none, those of which
-// a worker has a hole that is large enough. What waits in these is too large for it, or would be there by now.
+// candidatesFor returns the cells that can run the task: those with enough total capacity or, if there are none, those
+// with a single worker that has enough free. Tasks that wait in such a cell are too large for that worker; otherwise
+// they would run there already.
 func candidatesFor(task planner.DelegableTask, others []otherCell) []cottonlanding.CellView {
 	var inTotal, inHoles []cottonlanding.CellView
 	for _, other := range others {
@@ -62,28 +63,27 @@
 	return inHoles
 }
 
-// hasTotalRoom reports whether the cell has room beside all that runs and waits there.
+// hasTotalRoom reports whether the task fits in the cell beside all tasks that run or wait there.
 func (o otherCell) hasTotalRoom(task planner.DelegableTask) bool {
 	return o.Free > 0 && o.fitsLasting(task.Need.CPU)
 }
 
-// rejection is why a cell can't run a task of another one.
+// rejection is the reason for which a cell can't run a task of another cell. The log shows it.
 type rejection string
 
 const (
 	notRejected rejection = ""
-	// unknownCapacity: the cell has no owner, or it hasn't told of its workers lately.
+	// unknownCapacity: the cell has no owner, or its owner has not reported its capacity recently.
 	unknownCapacity rejection = "Unknown"
 	// returnedByCell: the cell has returned the task.
 	returnedByCell rejection = "Returned"
-	// full: what runs and waits there needs all of its room, and none of its workers has a hole that is
-	// large enough.
+	// full: running and waiting tasks need all capacity of the cell, and no single worker has enough free.
 	full rejection = "Full"
-	// workersTooSmall: none of its workers has enough room by itself.
+	// workersTooSmall: the task doesn't fit on any worker of the cell.
 	workersTooSmall rejection = "NoWorker"
 )
 
-// rejection returns why the cell can't run a task of another one, or noObstacle.
+// rejection returns why the cell can't run a task of another cell, or notRejected.
 func (o otherCell) rejection(task planner.DelegableTask) rejection {
 	switch {
 	case !o.Usable:
@@ -98,7 +98,7 @@
 	return notRejected
 }
 
-// logUnplaced logs from time to time why no other cell can run a task, with the cells by obstacle.
+// logUnplaced logs, at most once in unplacedLogInterval, the number of cells by their reason to reject a task.
 func (p *participant) logUnplaced(task planner.DelegableTask, others []otherCell) {
 	now := p.gateway.deps.Clock.Now()
 	p.mu.Lock()
@@ -117,14 +117,14 @@
 	p.gateway.deps.Log.Info("no cell has room for a task", "Cell", p.cell, "Task", task.Ref.String(), "CPU", int64(task.Need.CPU), "Cells", cells)
 }
 
-// recordDelegated takes in that a task was delegated to this cell.
+// recordDelegated records that a task was delegated to this cell.
 func (p *participant) recordDelegated(task planner.DelegableTask, now cottonlanding.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.referred = append(p.referred, referredLoad{at: now, delegated: task.Need.CPU, service: task.Service})
 }
 
-// sendDelegationRequest asks another cell about the tasks that it is to run for this one.
+// sendDelegationRequest asks another cell about the tasks that this cell has delegated to it.
 func (p *participant) sendDelegationRequest(ctx context.Context, to cottonlanding.CellNumber, delegationRequest planner.DelegationRequest) (planner.DelegationResponse, error) {
 	delegateCell := p.gateway.participant(to)
 	if delegateCell == nil {
--- a/internal/workflow/gateway/export_test.go
+++ b/internal/workflow/gateway/export_test.go
@@ -1,6 +1,6 @@
 package gateway
 
-// What names rows and messages, for tests of the format.
+// Names of rows and encodings of messages, for the golden tests.
 var (
 	LayoutKey       = layoutKey
 	OwnersPartition = ownersPartition
@@ -9,5 +9,5 @@
 	AnswerFromWire  = answerFromWire
 )
 
-// Rejections lists why a cell can't run a task.
+// Rejections lists the reasons for which a cell can't run a task.
 var Rejections = []any{notRejected, unknownCapacity, returnedByCell, full, workersTooSmall}
--- a/internal/workflow/gateway/filling_test.go
+++ b/internal/workflow/gateway/filling_test.go
@@ -9,9 +9,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A lasting workflow waits at a home that is full, as are two other cells. The fourth runs but
-// lasting tasks that fill, which take only the processors that others leave, and hold no
-// processor back from one that has room reserved. So the workflow is to go there.
+// TestLastingWorkflowMovesBesideFilling guards against a lasting workflow that isn't handed over to a cell that runs only
+// filling tasks, because these count as used capacity. They use only CPU that others leave, so a task with a
+// reservation can run beside them. The workflow's home and two other cells are full.
 func TestLastingWorkflowMovesBesideFilling(t *testing.T) {
 	referral := &delayedReferral{}
 	d := deployWithReferral(t, cells, referral)
@@ -24,9 +24,9 @@
 	filling.Steps[0].Fills, filling.Steps[0].Image = true, "batch"
 	filling.Steps[0].Resources.Memory = cottonlanding.Megabyte
 	d.submit(0, filling)
-	require.Eventually(t, func() bool { return d.runner.Lasting() == cells*perCell }, 10*time.Second, 10*time.Millisecond, "all run")
-	time.Sleep(time.Second) // all know by then what is left
+	require.Eventually(t, func() bool { return d.runner.Lasting() == cells*perCell }, 10*time.Second, 10*time.Millisecond, "all tasks of the full and the filling cells run")
+	time.Sleep(time.Second) // every host has read the capacity reports
 	d.submit(0, lastingWorkflowAt(0, "waits", 1))
 	referral.enabled.Store(true)
-	require.Eventually(t, func() bool { return d.runner.Lasting() == cells*perCell+1 }, 8*time.Second, 10*time.Millisecond, "it begins")
+	require.Eventually(t, func() bool { return d.runner.Lasting() == cells*perCell+1 }, 8*time.Second, 10*time.Millisecond, "the waiting workflow starts beside the filling tasks")
 }
--- a/internal/workflow/gateway/gateway.go
+++ b/internal/workflow/gateway/gateway.go
@@ -1,6 +1,5 @@
-// Package gateway answers clients' calls about workflows at every host: it asks
-// the owner of the workflow's cell, here or at another host, and the table when no
-// owner can be asked.
+// Package gateway answers clients' calls about workflows at every host. It calls the owner of the workflow's cell, in
+// this process or at another host, and reads the table if the owner can't be reached.
 package gateway
 
 import (
@@ -29,15 +28,15 @@
 // OperatorsKey names the row that holds a copy of the operators' table.
 var OperatorsKey = layoutPartition.Key(cottonlanding.WatchedPrefix + "Operators")
 
-// layoutPartition holds the layout, what operators wrote, and the owners of the first cells.
+// layoutPartition holds the layout, the copy of the operators' table, and the owner rows of some cells.
 const layoutPartition cottonlanding.Partition = "Cells"
 
-// ownersPerPartition is how many cells' owners share a partition of the table at most, whose
-// beats are the writes of them: a third of what the table takes of one partition.
+// ownersPerPartition is the maximum number of cells whose owner rows share a partition of the table. Each owner writes
+// its heartbeats there; together they use a third of the writes that one partition takes.
 const ownersPerPartition = 16
 
-// ownersPartition returns where it stands who owns a cell. Others look at the beats of a
-// partition's owners with one call.
+// ownersPartition returns the partition that holds the owner row of a cell. Hosts read all owner rows of a partition
+// with one call.
 func ownersPartition(cell cottonlanding.CellNumber, cells int) cottonlanding.Partition {
 	partitions := (cells + ownersPerPartition - 1) / ownersPerPartition
 	part := int(cell) % max(partitions, 1)
@@ -47,13 +46,13 @@
 	return layoutPartition + cottonlanding.Partition("."+strconv.Itoa(part))
 }
 
-// partitionOf returns where the workflows of a cell are kept: each cell has a partition of
-// its own, since the table takes the writes of one partition one after another.
+// partitionOf returns the partition that holds the workflows of a cell. Each cell has its own, since the table
+// serialises the writes of a partition.
 func partitionOf(cell cottonlanding.CellNumber) cottonlanding.Partition {
 	return cottonlanding.Partition("Workflows." + cell.String())
 }
 
-// Settings are what a gateway is told.
+// Settings configures a Gateway.
 type Settings struct {
 	Self        holder.Member
 	PeerAddress cottonlanding.Address
@@ -62,70 +61,69 @@
 	Planner     planner.Timing
 	Policy      planner.Policy
 	Referral    cottonlanding.ReferralPolicy
-	// WorkersPerCell is how many workers a cell should have.
+	// WorkersPerCell is the number of workers that a cell should have.
 	WorkersPerCell int
 }
 
-// Dependencies are what a gateway works with.
+// Dependencies are the services that a Gateway uses.
 type Dependencies struct {
 	Table cottonlanding.Table
-	// TableClock returns a reading of the table's clock, and false while there is none. It may be nil.
+	// TableClock returns a reading of the table's clock, and false if there is none. It may be nil.
 	TableClock func() (cottonlanding.TableReading, bool)
-	// Watched tells of the table's watched rows.
+	// Watched is the feed of the table's watched rows.
 	Watched cottonlanding.Feed
 	Workers cottonlanding.RunClient
 	Clock   cottonlanding.Clock
 	Log     *slog.Logger
-	// FollowWorkers starts or stops following the list of workers, which only owners
-	// need.
+	// FollowWorkers starts or stops following the list of workers, which only owners need.
 	FollowWorkers func(bool)
 	// Lists relays the list of workers between the hosts that follow it.
 	Lists       *relayer.Relay
 	ListWorkers func() ([]cottonlanding.WorkerInfo, bool)
-	// ListedAt returns as of when that list is complete.
+	// ListedAt returns the instant as of which that list is complete.
 	ListedAt func() cottonlanding.Millis
 	Queues   func() cottonlanding.Queues
-	// Evacuations returns where nothing new may start.
+	// Evacuations returns the data centres in which no new run may start.
 	Evacuations func() cottonlanding.Evacuations
 }
 
-// Gateway is one host's part in the workflows.
+// Gateway is a host's access to all workflows. It also owns cells and drives their workflows.
 type Gateway struct {
 	settings  Settings
 	deps      Dependencies
 	messenger *messenger.Messenger
 	watcher   *holder.Watcher
-	// participants holds this host's part in each cell that is known; the first is there from
-	// the start.
+	// participants holds this host's participant in each known cell, by cell number; the first cell always exists.
 	participants atomic.Pointer[[]*participant]
-	// layout is nil before it is known.
+	// layout is nil until it is known.
 	layout     atomic.Pointer[partitioner.Layout]
 	layoutLoop *repeater.Repeater
-	// layoutKnownAt is when the layout came to be known, ready that calls are answered since.
+	// layoutKnownAt is when the first layout was read, ready whether calls are answered.
 	layoutKnownAt atomic.Int64
 	ready         atomic.Bool
-	// referralsLoop settles what became of referred workflows.
+	// referralsLoop finds out what became of referred workflows.
 	referralsLoop *repeater.Repeater
 
-	// The fields below belong to the layout's duty.
+	// Only the layout loop uses the fields below.
 	layoutVersion cottonlanding.Version
-	// readers holds one for each partition of owners.
+	// readers holds one reader for each partition of owner rows.
 	readers map[cottonlanding.Partition]*holder.Reader
-	// refusedVersion is that of a layout that couldn't be read.
+	// refusedVersion is the version of the last layout that was refused.
 	refusedVersion cottonlanding.Version
 	settling       settling
 
-	// lifetime ends with the host's part.
+	// lifetime ends when the gateway is closed.
 	lifetime    context.Context
 	endLifetime context.CancelFunc
-	// watchesMu guards the watches of all cells.
+	// watchesMu guards the owner watches of all cells.
 	watchesMu sync.Mutex
 
 	mu     sync.Mutex
 	closed bool
 }
 
-// New starts to follow the owners of all cells, and to own cells when nobody else does.
+// New starts to follow the owners of all cells, and to take over cells that have no owner. The error is that of the
+// listener for other hosts.
 func New(settings Settings, deps Dependencies) (*Gateway, error) {
 	g := &Gateway{
 		settings: settings,
@@ -157,7 +155,7 @@
 	return g, nil
 }
 
-// addParticipants takes part in cells until there are as many as count.
+// addParticipants adds participants until there are count cells.
 func (g *Gateway) addParticipants(count int) {
 	next := slices.Clone(*g.participants.Load())
 	for number := len(next); number < count; number++ {
@@ -166,7 +164,7 @@
 	g.participants.Store(&next)
 }
 
-// reader returns the reader of a partition of owners.
+// reader returns the reader of a partition of owner rows.
 func (g *Gateway) reader(partition cottonlanding.Partition) *holder.Reader {
 	if g.readers[partition] == nil {
 		g.readers[partition] = holder.NewReader(g.deps.Table, g.deps.Clock, g.watcher, partition)
@@ -174,7 +172,7 @@
 	return g.readers[partition]
 }
 
-// participant returns this host's part in a cell, or nil if the cell isn't known here.
+// participant returns this host's participant in a cell, or nil if the cell isn't known here.
 func (g *Gateway) participant(cell cottonlanding.CellNumber) *participant {
 	participants := *g.participants.Load()
 	if cell < 0 || int(cell) >= len(participants) {
@@ -183,7 +181,8 @@
 	return participants[cell]
 }
 
-// home returns this host's part in the cell that knows of a workflow.
+// home returns this host's participant in the home cell of a workflow, to which its id maps. The error is
+// ErrUnavailable until the cells are known.
 func (g *Gateway) home(id cottonlanding.WorkflowID) (*participant, error) {
 	if !g.Ready() {
 		return nil, fmt.Errorf("the cells are not known yet: %w", cottonlanding.ErrUnavailable)
@@ -191,7 +190,7 @@
 	return g.participant(g.layout.Load().Home(id)), nil
 }
 
-// Owned counts the cells that this host owns.
+// Owned returns the number of cells that this host owns.
 func (g *Gateway) Owned() int {
 	count := 0
 	for _, p := range *g.participants.Load() {
@@ -202,7 +201,7 @@
 	return count
 }
 
-// ownedBy counts the cells that a host owns, as far as is known here.
+// ownedBy returns the number of cells that a host owns according to the owner rows read here.
 func (g *Gateway) ownedBy(owner cottonlanding.SessionID) int {
 	count := 0
 	for _, p := range *g.participants.Load() {
@@ -213,16 +212,16 @@
 	return count
 }
 
-// Idle reports whether this host owns none of several cells.
+// Idle reports whether there are several cells of which this host owns none.
 func (g *Gateway) Idle() bool { return g.cells() > 1 && g.Owned() == 0 }
 
-// OwnsFirstCell reports whether this host owns the first of several cells.
+// OwnsFirstCell reports whether there are several cells and this host owns the first one.
 func (g *Gateway) OwnsFirstCell() bool { return g.cells() > 1 && g.participant(firstCell).isOwner() }
 
-// Watcher returns what this host knows of the watched rows.
+// Watcher returns the follower of the table's watched rows.
 func (g *Gateway) Watcher() *holder.Watcher { return g.watcher }
 
-// cells counts the cells; before the layout is known there is one.
+// cells returns the number of cells, 1 until the layout is known.
 func (g *Gateway) cells() int { return max(1, len(*g.participants.Load())) }
 
 // followWorkersIfOwner follows the list of workers while this host owns a cell.
@@ -232,7 +231,7 @@
 	g.deps.FollowWorkers(g.Owned() > 0)
 }
 
-// LastConfirmedAt returns when the table last confirmed who the owners are.
+// LastConfirmedAt returns when the table last confirmed the owners, in milliseconds of the clock.
 func (g *Gateway) LastConfirmedAt() cottonlanding.Millis {
 	latest := g.watcher.LastContactAt()
 	for _, p := range *g.participants.Load() {
@@ -241,7 +240,7 @@
 	return latest
 }
 
-// Slow reports whether the table is slow.
+// Slow reports whether calls of the table are slow.
 func (g *Gateway) Slow() bool {
 	if g.watcher.Slow() {
 		return true
@@ -254,7 +253,7 @@
 	return false
 }
 
-// Counts returns the counts of the cells that this host owns, and whether there are any.
+// Counts returns the sum of the counters of the cells that this host owns, and whether it owns any.
 func (g *Gateway) Counts() (planner.Counts, bool) {
 	var sum planner.Counts
 	owns := false
@@ -267,19 +266,19 @@
 	return sum, owns
 }
 
-// Submit hands in a workflow. ErrUnavailable, ErrNotFound and ErrCannotRun mean
-// that it was not accepted and never will be, ErrAmbiguous that it may be.
+// Submit submits a workflow. ErrUnavailable, ErrNotFound and ErrCannotRun mean that it was not accepted and never will
+// be, ErrAmbiguous that it may have been accepted.
 func (g *Gateway) Submit(ctx context.Context, workflow cottonlanding.Workflow) error {
 	return g.callFollowingReferral(workflow.ID, func(p *participant) error { return p.submit(ctx, workflow) })
 }
 
-// Cancel cancels a workflow. The errors are as for Submit.
+// Cancel cancels a workflow. The errors are those of Submit.
 func (g *Gateway) Cancel(ctx context.Context, id cottonlanding.WorkflowID) error {
 	return g.callFollowingReferral(id, func(p *participant) error { return p.cancel(ctx, id) })
 }
 
-// State returns the committed state of a workflow, from the table if the owner
-// can't be asked, or ErrNotFound.
+// State returns the committed state of a workflow, read from the table if the owner can't be reached. The error is
+// ErrNotFound if there is no such workflow.
 func (g *Gateway) State(ctx context.Context, id cottonlanding.WorkflowID) (cottonlanding.WorkflowState, error) {
 	var state cottonlanding.WorkflowState
 	err := g.callFollowingReferral(id, func(p *participant) error {
@@ -290,7 +289,7 @@
 	return state, err
 }
 
-// callFollowingReferral asks a workflow's home, and the cell that keeps the workflow if that is another.
+// callFollowingReferral calls the home cell of a workflow and, if that has referred the workflow, the cell that has it.
 func (g *Gateway) callFollowingReferral(id cottonlanding.WorkflowID, call func(*participant) error) error {
 	s, err := g.home(id)
 	if err != nil {
@@ -308,7 +307,7 @@
 	return call(destination)
 }
 
-// Waiting counts the accepted workflows of a queue that have not begun, in all cells.
+// Waiting returns the number of accepted workflows of a queue that have not started, in all cells.
 func (g *Gateway) Waiting(ctx context.Context, queue cottonlanding.QueueName) (int, error) {
 	if !g.Ready() {
 		return 0, fmt.Errorf("the cells are not known yet: %w", cottonlanding.ErrUnavailable)
@@ -327,8 +326,8 @@
 	return sum, errors.Join(errs...)
 }
 
-// Leave gives up what this host owns and keeps it from owning again. Calls go on
-// to be answered by the next owners until Close.
+// Leave releases the cells that this host owns and keeps it from taking any. Calls are forwarded to the next owners
+// until Close.
 func (g *Gateway) Leave(ctx context.Context) {
 	g.mu.Lock()
 	g.closed = true
@@ -341,14 +340,14 @@
 	left.Wait()
 }
 
-// leaving reports whether this host takes nothing over any more.
+// leaving reports whether this host takes no cells any more.
 func (g *Gateway) leaving() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.closed
 }
 
-// Close ends the host's part.
+// Close stops all activity of the gateway without releasing its cells.
 func (g *Gateway) Close(ctx context.Context) {
 	g.endLifetime()
 	g.layoutLoop.Close()
--- a/internal/workflow/gateway/gateway_test.go
+++ b/internal/workflow/gateway/gateway_test.go
@@ -26,7 +26,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// deployment is three hosts on loopback, with one table and some workers.
+// deployment is three hosts on loopback that share one table and some workers.
 type deployment struct {
 	t        *testing.T
 	clock    cottonlanding.Clock
@@ -37,31 +37,31 @@
 	workers  []cottonlanding.WorkerInfo
 	perCell  int
 	referral cottonlanding.ReferralPolicy
-	// slowThreshold is how long a call takes of a table that hosts take for slow.
+	// slowThreshold is the duration of a call from which on hosts consider the table slow.
 	slowThreshold cottonlanding.Millis
-	// restarts counts the hosts that were started after others were killed.
+	// restarts counts the hosts that were started to replace killed ones.
 	restarts int
 	hosts    []*gateway.Gateway
-	// lists are the hosts' relays of the list of workers, listReads counts readings of that.
+	// lists are the hosts' relays of the list of workers; listReads counts how often the list itself is read.
 	lists     []*relayer.Relay
 	listReads atomic.Int64
-	// proxies stand between each host and the others that call it.
+	// proxies stand between each host and the hosts that call it.
 	proxies []*proxy.Proxy
 }
 
-// faultyTable can be switched off.
+// faultyTable is a table that can be made unavailable or slow.
 type faultyTable struct {
 	cottonlanding.Table
 	unavailable atomic.Bool
-	// callDelay is how long a commit or a read takes.
+	// callDelay is added to each commit and read, in nanoseconds.
 	callDelay atomic.Int64
-	// scanRowDelay is how long each row of a scan takes, as on a slow link.
+	// scanRowDelay is added to a scan for each of its rows, in nanoseconds, as on a slow link.
 	scanRowDelay atomic.Int64
-	// commitDelay is how long a commit of many rows takes.
+	// commitDelay is added to each commit of several rows, in nanoseconds.
 	commitDelay atomic.Int64
 }
 
-// faultyFeed tells nothing while its table is off.
+// faultyFeed fails while its table is unavailable.
 type faultyFeed struct {
 	cottonlanding.Feed
 	table *faultyTable
@@ -80,7 +80,7 @@
 		return cottonlanding.Receipt{}, cottonlanding.ErrUnavailable
 	}
 	time.Sleep(time.Duration(t.callDelay.Load()))
-	if len(transaction.Writes) > 1 { // a beat is one
+	if len(transaction.Writes) > 1 { // a heartbeat writes one row
 		time.Sleep(time.Duration(t.commitDelay.Load()))
 	}
 	return t.Table.Commit(ctx, transaction)
@@ -107,21 +107,23 @@
 	}
 }
 
-// peerIP is the loopback address of the hosts' listeners. Proxies and connections, which take
-// any free port of 127.0.0.1, can't take theirs between the probe and the listening.
+// peerIP is the loopback address of the hosts' listeners. Proxies and connections use any free port of 127.0.0.1, and
+// so can't take a listener's port between the probe and the listening.
 const peerIP = "127.0.66.1"
 
 // neverSlow is longer than any call of the table in memory takes, however busy the machine is: only
 // a test that makes the table slow is to have hosts that take it for slow, from calls of slowCall on.
 const (
+	// neverSlow exceeds the duration of any call of the table in memory on a loaded machine, so that only tests that
+	// delay the table have hosts that consider it slow, from slowCall on.
 	neverSlow = cottonlanding.Minute
 	slowCall  = 150 * cottonlanding.Millis(1)
 )
 
-// deploy starts hosts whose workers are of one cell.
+// deploy starts hosts whose workers are in one cell.
 func deploy(t *testing.T) *deployment { return deployCells(t, 1) }
 
-// deployCells starts hosts with workers in as many data centres as there are to be cells.
+// deployCells starts hosts and as many data centres of workers as there are to be cells.
 func deployCells(t *testing.T, cells int) *deployment {
 	return deployWithReferral(t, cells, selector.Default().Referral)
 }
@@ -130,7 +132,7 @@
 	return deployWithSlowCall(t, cells, referral, neverSlow)
 }
 
-// deployWithSlowCall starts hosts that take the table for slow from calls of some length on.
+// deployWithSlowCall starts hosts that consider the table slow if calls take slowThreshold or longer.
 func deployWithSlowCall(t *testing.T, cells int, referral cottonlanding.ReferralPolicy, slowThreshold cottonlanding.Millis) *deployment {
 	const workersPerCell = 4
 	clock := cottonlanding.NewClock()
@@ -204,7 +206,7 @@
 	return host
 }
 
-// owner returns the host that owns the workflows, once one does.
+// owner waits until a host owns the workflows, and returns it.
 func (d *deployment) owner() int {
 	found := -1
 	require.Eventually(d.t, func() bool {
@@ -226,7 +228,7 @@
 	return cottonlanding.Workflow{ID: id, Queue: "Q", Payload: "p", Steps: []cottonlanding.Step{step, second}}
 }
 
-// submit hands a workflow in like a client: again with the same id until it is taken.
+// submit submits a workflow like a client, with retries under the same id until it is accepted.
 func (d *deployment) submit(host int, w cottonlanding.Workflow) {
 	require.Eventually(d.t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -240,7 +242,7 @@
 	defer cancel()
 	state, err := d.hosts[host].State(ctx, id)
 	if err != nil {
-		require.NotErrorIs(d.t, err, cottonlanding.ErrNotFound, "an accepted workflow is denied")
+		require.NotErrorIs(d.t, err, cottonlanding.ErrNotFound, "an accepted workflow is not found")
 	}
 	return state
 }
@@ -250,13 +252,15 @@
 		15*time.Second, 20*time.Millisecond, "workflow %s", id)
 }
 
+// TestSubmitAtAnyHost guards against a workflow that is lost at a host which isn't the owner, or runs twice because it
+// was submitted at two hosts.
 func TestSubmitAtAnyHost(t *testing.T) {
 	d := deploy(t)
 	d.owner()
 	for host := range d.hosts {
 		id := cottonlanding.WorkflowID(fmt.Sprintf("at%d", host))
 		d.submit(host, workflow(id))
-		d.submit((host+1)%3, workflow(id)) // again, elsewhere: still one
+		d.submit((host+1)%3, workflow(id)) // the same workflow at another host
 		d.requireSuccess((host+2)%3, id)
 	}
 	require.Equal(t, 18, d.runner.Starts())
@@ -264,6 +268,8 @@
 	require.ErrorIs(t, err, cottonlanding.ErrNotFound)
 }
 
+// TestInvalidWorkflowError guards against a host that refuses an invalid workflow with another error than ErrCannotRun
+// because the owner is elsewhere.
 func TestInvalidWorkflowError(t *testing.T) {
 	d := deploy(t)
 	d.owner()
@@ -277,6 +283,8 @@
 	}
 }
 
+// TestOwnerKilled guards against workflows that are lost, and lasting tasks that are interrupted, when the owner is
+// killed.
 func TestOwnerKilled(t *testing.T) {
 	d := deploy(t)
 	old := d.owner()
@@ -296,7 +304,7 @@
 	for number := range 10 {
 		d.requireSuccess(other, cottonlanding.WorkflowID(fmt.Sprintf("before%d", number)))
 	}
-	require.Equal(t, 4, d.runner.Running(), "lasting tasks go on where they were")
+	require.Equal(t, 4, d.runner.Running(), "lasting tasks continue on their workers")
 	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
 	defer end()
 	require.NoError(t, d.hosts[other].Cancel(ctx, "lasting"))
@@ -304,8 +312,8 @@
 	require.Equal(t, cottonlanding.WorkflowCancelled, d.state(other, "lasting"))
 }
 
-// TestTakeOverOverSlowLink checks that an owner whose link is slow comes to know
-// hundreds of workflows: a page that takes longer than a call may would never arrive.
+// TestTakeOverOverSlowLink guards against an owner with a slow link that never loads hundreds of workflows, because a
+// page takes longer than the time limit of a call.
 func TestTakeOverOverSlowLink(t *testing.T) {
 	d := deploy(t)
 	old := d.owner()
@@ -323,8 +331,8 @@
 	d.requireSuccess(other, "after")
 }
 
-// TestSmallOwnerHandsOver checks that a large host that comes later gets the
-// workflows, and that all that is accepted meanwhile is done once.
+// TestSmallOwnerHandsOver guards against a small host that keeps the workflows when a large one starts, and against
+// workflows that are lost or run twice in the hand-over.
 func TestSmallOwnerHandsOver(t *testing.T) {
 	d := deploy(t)
 	d.owner()
@@ -338,14 +346,16 @@
 		if _, owns := d.hosts[3].Counts(); owns {
 			break
 		}
-		require.True(t, time.Now().Before(end), "the large host never owns the workflows")
+		require.True(t, time.Now().Before(end), "the large host doesn't take over within 15 s")
 	}
 	for at := range number {
 		d.requireSuccess(at%4, cottonlanding.WorkflowID(fmt.Sprintf("w%d", at)))
 	}
-	require.Equal(t, 6*number, d.runner.Starts(), "each task runs once")
+	require.Equal(t, 6*number, d.runner.Starts(), "each task starts once")
 }
 
+// TestOwnerLeaves guards against a leaving owner whose workflows wait for its time to live, or that refuses calls which
+// it could forward to the next owner.
 func TestOwnerLeaves(t *testing.T) {
 	d := deploy(t)
 	old := d.owner()
@@ -354,14 +364,16 @@
 	defer cancel()
 	began := time.Now()
 	d.hosts[old].Leave(ctx)
-	d.submit(old, workflow("meanwhile")) // the host that leaves passes calls on
+	d.submit(old, workflow("meanwhile")) // the leaving host forwards calls
 	took := time.Since(began)
 	d.requireSuccess(old, "before")
 	d.requireSuccess(old, "meanwhile")
 	require.Less(t, took, 2*time.Second)
-	t.Logf("a workflow was taken %s after the owner began to leave", took)
+	t.Logf("a workflow was accepted %s after the owner began to leave", took)
 }
 
+// TestTableUnavailable guards against calls that wait for their time limit while the table is unavailable, and against
+// hosts that don't recover with it.
 func TestTableUnavailable(t *testing.T) {
 	d := deploy(t)
 	old := d.owner()
@@ -372,7 +384,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		return errors.Is(d.hosts[(old+1)%3].Submit(ctx, workflow("refused")), cottonlanding.ErrUnavailable)
-	}, 5*time.Second, 50*time.Millisecond, "refused at once")
+	}, 5*time.Second, 50*time.Millisecond, "calls are refused without delay")
 	d.table.unavailable.Store(false)
 	d.submit(old, workflow("after"))
 	d.requireSuccess(old, "after")
--- a/internal/workflow/gateway/gauges.go
+++ b/internal/workflow/gateway/gauges.go
@@ -7,8 +7,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/driver"
 )
 
-// SetGauges hands the owner's counts to gauge. Of hosts that are no owner the
-// counts are left out, so that sums over all hosts stay true.
+// SetGauges passes the counters of the owned cells to gauge. A host that owns none leaves them out, so that it doesn't
+// distort sums over all hosts.
 func (g *Gateway) SetGauges(gauge func(name string, value float64)) {
 	counts, owner := g.Counts()
 	if !owner {
@@ -39,8 +39,7 @@
 	}
 }
 
-// progressGauges returns the gauges of how quickly the owned cells got on lately, the slowest
-// of each.
+// progressGauges returns the gauges of the owners' recent delays, the largest over the owned cells.
 func (g *Gateway) progressGauges() map[string]cottonlanding.Millis {
 	var worst driver.Stats
 	for _, p := range *g.participants.Load() {
--- a/internal/workflow/gateway/golden_gauges_test.go
+++ b/internal/workflow/gateway/golden_gauges_test.go
@@ -11,14 +11,14 @@
 	"github.com/cottonlanding/cottonlanding/internal/golden/transcriber"
 )
 
-// TestGoldenGauges guards against another name of a metric of an owner or of another host.
+// TestGoldenGauges guards against changed names of the gauges of an owner or of another host.
 func TestGoldenGauges(t *testing.T) {
 	d := deploy(t)
 	owner := d.owner()
 	d.submit(owner, workflow("w"))
 	d.requireSuccess(owner, "w")
 	var of transcriber.Gauges
-	// Ends are counted as workers list them.
+	// The end of a run is counted when its worker lists it.
 	require.Eventually(t, func() bool {
 		of = nil
 		d.hosts[owner].SetGauges(of.Set)
@@ -27,7 +27,7 @@
 	for _, want := range []string{"workflow_owner 1", "workflow_cells_owned 1", "workflows_accepted 1", "workflows_succeeded 1"} {
 		require.Contains(t, of, want)
 	}
-	// A start that a poll has shown before its own answer isn't counted.
+	// A start is not counted if a poll shows its run before the start has been answered.
 	started := slices.IndexFunc(of, func(one string) bool { return strings.HasPrefix(one, "runs_started ") })
 	require.GreaterOrEqual(t, started, 0)
 	require.Contains(t, []string{"1", "2", "3", "4", "5", "6"}, strings.TrimPrefix(of[started], "runs_started "))
--- a/internal/workflow/gateway/golden_test.go
+++ b/internal/workflow/gateway/golden_test.go
@@ -16,14 +16,15 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/gateway"
 )
 
-// TestGoldenNames guards against rows that hosts of another version look for elsewhere.
+// TestGoldenNames guards against changed row keys and partitions, which hosts of another version would not find, and
+// against changed reasons in log lines.
 func TestGoldenNames(t *testing.T) {
 	comparer.RequireList(t, "Keys", gateway.LayoutKey, gateway.OperatorsKey, gateway.PartitionOf(7),
 		gateway.OwnersPartition(0, 33), gateway.OwnersPartition(1, 33), gateway.OwnersPartition(1, 16))
 	comparer.RequireList(t, "Obstacles", gateway.Rejections...)
 }
 
-// TestGoldenRelayedList guards against a list of workers that a host of another version reads as something else.
+// TestGoldenRelayedList guards against a relayed list of workers that a host of another version decodes differently.
 func TestGoldenRelayedList(t *testing.T) {
 	answer := relayer.Answer{
 		News: cottonlanding.FeedReading{
--- a/internal/workflow/gateway/handover_test.go
+++ b/internal/workflow/gateway/handover_test.go
@@ -13,7 +13,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/partitioner"
 )
 
-// delayedReferral refers nothing at first, and then to the cell with the most room.
+// delayedReferral refers nothing until it is enabled, and then to the cell with the most free capacity.
 type delayedReferral struct {
 	enabled atomic.Bool
 }
@@ -28,10 +28,9 @@
 	return best.Cell, d.enabled.Load() && best.Cell != home.Cell
 }
 
-// TestWaitingWorkflowsMove hands in lasting workflows that fill seven eighths of all
-// workers, by their ids alone, so that they wait in some cells while others have room. Once
-// they may move they do, each is known at every host all the time, and each task is started
-// once, also while the owners of all cells are killed one after another.
+// TestWaitingWorkflowsMove guards against workflows that are lost, not found or started twice while they are handed over
+// and all owners are killed one after another. Lasting workflows that need seven eighths of all workers are first
+// placed by their ids alone, so that some wait while other cells have room.
 func TestWaitingWorkflowsMove(t *testing.T) {
 	referral := &delayedReferral{}
 	d := deployWithReferral(t, cells, referral)
@@ -46,7 +45,7 @@
 		d.submit(number%3, w)
 	}
 	time.Sleep(time.Second)
-	require.Less(t, d.runner.Lasting(), lasting, "some wait")
+	require.Less(t, d.runner.Lasting(), lasting, "some workflows wait at full homes")
 	referral.enabled.Store(true)
 	killed := 0
 	require.Eventually(t, func() bool {
@@ -58,11 +57,11 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			_, err := d.hosts[number%3].State(ctx, id)
 			cancel()
-			require.NotErrorIs(t, err, cottonlanding.ErrNotFound, "workflow %s is denied", id)
+			require.NotErrorIs(t, err, cottonlanding.ErrNotFound, "workflow %s is not found", id)
 		}
 		return d.runner.Lasting() == lasting
-	}, 40*time.Second, 200*time.Millisecond, "they find room")
-	require.Equal(t, lasting, d.runner.Starts(), "each task is started once")
+	}, 40*time.Second, 200*time.Millisecond, "all workflows run once they may move")
+	require.Equal(t, lasting, d.runner.Starts(), "each task starts once")
 	for number, id := range ids {
 		require.Eventually(t, func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -73,7 +72,7 @@
 	require.Eventually(t, func() bool { return d.runner.Lasting() == 0 }, 10*time.Second, 10*time.Millisecond)
 }
 
-// lastingWorkflowAt is a workflow of lasting tasks whose home is a cell.
+// lastingWorkflowAt returns a workflow of lasting tasks whose home is the given cell.
 func lastingWorkflowAt(home cottonlanding.CellNumber, name string, tasks int) cottonlanding.Workflow {
 	layout := partitioner.Layout{Cells: cells}
 	number := 0
@@ -89,7 +88,7 @@
 	return w
 }
 
-// handedOver counts the workflows that waited and went to another cell.
+// handedOver returns the number of waiting workflows that were handed over to another cell.
 func (d *deployment) handedOver() int64 {
 	sum := int64(0)
 	for _, host := range d.hosts {
@@ -99,7 +98,7 @@
 	return sum
 }
 
-// accepted counts what the present owners have accepted.
+// accepted returns the number of workflows that the current owners have accepted.
 func (d *deployment) accepted() int64 {
 	sum := int64(0)
 	for _, host := range d.hosts {
@@ -109,11 +108,9 @@
 	return sum
 }
 
-// TestWorkflowWaitsWhileAllCellsFull has all cells full, and one workflow wait at its home. Seen: a lasting
-// workflow waited for good in a full cell while others had room. Its home had looked for room
-// just after the owners of those had changed, so that nothing was known of them; a full cell in
-// which nothing waited seemed to have more room than the home itself, in which the workflow
-// did. What was handed over can't leave the other cell again.
+// TestWorkflowWaitsWhileAllCellsFull guards against a lasting workflow that is handed over to a full cell, where it waits
+// for good while others have room, since it can't be handed over again. Just after the owners of the other cells had
+// changed, nothing was known of these, and a full cell in which nothing waited seemed to have more room than the home.
 func TestWorkflowWaitsWhileAllCellsFull(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
@@ -122,20 +119,19 @@
 		d.submit(0, lastingWorkflowAt(home, "fills", perCell))
 	}
 	require.Eventually(t, func() bool { return d.runner.Lasting() == cells*perCell }, 10*time.Second, 10*time.Millisecond)
-	time.Sleep(time.Second) // all know by then that the others are full
+	time.Sleep(time.Second) // every host has read that the other cells are full
 	d.submit(0, lastingWorkflowAt(0, "waits", waiting))
-	require.Never(t, func() bool { return d.handedOver() > 0 }, 2*time.Second, 50*time.Millisecond, "it goes where there is no room")
+	require.Never(t, func() bool { return d.handedOver() > 0 }, 2*time.Second, 50*time.Millisecond, "the workflow is handed over to a full cell")
 	require.Eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		return d.hosts[0].Cancel(ctx, lastingWorkflowAt(0, "fills", perCell).ID) == nil
 	}, 10*time.Second, 10*time.Millisecond)
-	require.Eventually(t, func() bool { return d.runner.Lasting() == (cells-1)*perCell+waiting }, 10*time.Second, 10*time.Millisecond, "it begins")
+	require.Eventually(t, func() bool { return d.runner.Lasting() == (cells-1)*perCell+waiting }, 10*time.Second, 10*time.Millisecond, "the workflow starts at its home")
 }
 
-// TestHandedOverWorkflowHasOneHolder has a workflow wait at its home, and room elsewhere. It is
-// accepted by its home and, once it is handed over, by the other cell, also in the counts; at no
-// time do both keep it, also if it is handed in again.
+// TestHandedOverWorkflowHasOneHolder guards against a workflow that two cells hold at a time, or that is accepted twice
+// by a cell, when it is handed over and then submitted again.
 func TestHandedOverWorkflowHasOneHolder(t *testing.T) {
 	referral := &delayedReferral{}
 	d := deployWithReferral(t, cells, referral)
@@ -145,12 +141,12 @@
 	d.submit(0, filling)
 	require.Eventually(t, func() bool { return d.runner.Lasting() == fills }, 10*time.Second, 10*time.Millisecond)
 	d.submit(1, waiting)
-	require.EqualValues(t, 2, d.accepted(), "each is accepted by its home")
+	require.EqualValues(t, 2, d.accepted(), "each workflow is accepted by its home")
 	referral.enabled.Store(true)
-	require.Eventually(t, func() bool { return d.runner.Lasting() == fills+waits }, 10*time.Second, 10*time.Millisecond, "it finds room")
+	require.Eventually(t, func() bool { return d.runner.Lasting() == fills+waits }, 10*time.Second, 10*time.Millisecond, "the waiting workflow runs in another cell")
 	d.submit(2, waiting)
 	require.EqualValues(t, 1, d.handedOver())
-	require.EqualValues(t, 3, d.accepted(), "the other cell has accepted it as well")
+	require.EqualValues(t, 3, d.accepted(), "the other cell has accepted the workflow as well")
 	d.requireSingleHolder(waiting.ID)
 	require.Len(t, d.recorder.history(waiting.ID).holders, 2)
 }
--- a/internal/workflow/gateway/interrupted_test.go
+++ b/internal/workflow/gateway/interrupted_test.go
@@ -10,25 +10,24 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// maxDowntime is how soon a lasting task must run again where capacity for it exists twice over. Source:
-// the users' rule on lost tasks: six seconds after its last run, and three of calm.
+// maxDowntime is the longest permitted time until a lasting task runs again if there is twice the capacity that it needs.
+// It is six seconds after its last run, and three seconds without a further fault.
 const maxDowntime = 9 * time.Second
 
-// crashWorkerWithLastingTask crashes the first worker with a lasting task.
+// crashWorkerWithLastingTask crashes the first worker that runs a lasting task.
 func (d *deployment) crashWorkerWithLastingTask(lasting int) {
 	for _, worker := range d.workers {
 		d.runner.Crash(worker.ID)
 		if d.runner.Lasting() < lasting {
 			return
 		}
-		d.runner.Add(worker.ID, 5000) // it was idle
+		d.runner.Add(worker.ID, 5000) // it ran no lasting task
 	}
 	require.Fail(d.t, "no worker has a lasting task")
 }
 
-// TestInterruptedTasksDelegated fills one cell with lasting tasks, beside others that are
-// empty, and crashes one of its workers for good. What is lost with it runs again. Seen: it waited in
-// its cell for as long as that was full.
+// TestInterruptedTasksDelegated guards against interrupted tasks that wait in their full cell while other cells are
+// empty. One worker of the full cell crashes for good.
 func TestInterruptedTasksDelegated(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
@@ -39,9 +38,9 @@
 	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, maxDowntime, 10*time.Millisecond, "other cells have room for what was lost")
 }
 
-// TestInterruptedTasksDelegatedDuringOwnerChanges loses two workers of a full cell for good while all owners are
-// killed, some time after that. Seen: what was lost waited in its cell for good. It runs elsewhere in time,
-// each task once, and ends with its workflow.
+// TestInterruptedTasksDelegatedDuringOwnerChanges guards against interrupted tasks that wait for good in their full cell,
+// run twice or outlive their workflow, when two workers crash for good and all owners are killed at some time after
+// that.
 func TestInterruptedTasksDelegatedDuringOwnerChanges(t *testing.T) {
 	for _, killedAfter := range []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second} {
 		t.Run(killedAfter.String(), func(t *testing.T) {
@@ -64,14 +63,14 @@
 				defer cancel()
 				return d.hosts[0].Cancel(ctx, filling.ID) == nil
 			}, 10*time.Second, 10*time.Millisecond)
-			require.Eventually(t, func() bool { return d.runner.Running() == 0 }, 5*time.Second, 10*time.Millisecond, "nothing of it is left in any cell")
+			require.Eventually(t, func() bool { return d.runner.Running() == 0 }, 5*time.Second, 10*time.Millisecond, "no cell runs a task of the cancelled workflow")
 		})
 	}
 }
 
-// TestInterruptedTasksUseRoomTooSmallForOthers has lasting tasks wait in each cell that are too large for what its
-// workers have left, and crashes a worker with small ones for good. Seen: no cell with tasks that wait took any from
-// another one, so that what was lost waited for good beside workers with room for it.
+// TestInterruptedTasksUseRoomTooSmallForOthers guards against interrupted tasks that wait for good beside workers with
+// room for them, because no cell with waiting tasks accepts tasks of another cell. Here the waiting tasks of each cell
+// are too large for what its workers have left.
 func TestInterruptedTasksUseRoomTooSmallForOthers(t *testing.T) {
 	const (
 		full, nearlyFull = 32, 28
@@ -89,8 +88,8 @@
 		large.Steps[0].Resources.CPU = 8000
 		d.submit(0, large)
 	}
-	time.Sleep(3 * time.Second) // all owners tell of what waits
-	require.Equal(t, lasting, d.runner.Lasting(), "nothing large finds room")
+	time.Sleep(3 * time.Second) // all owners have reported their waiting tasks
+	require.Equal(t, lasting, d.runner.Lasting(), "no large task runs")
 	d.crashWorkerWithLastingTask(lasting)
-	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, maxDowntime, 10*time.Millisecond, "the other cells have room for what was lost")
+	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, maxDowntime, 10*time.Millisecond, "other cells run the interrupted tasks")
 }
--- a/internal/workflow/gateway/layout.go
+++ b/internal/workflow/gateway/layout.go
@@ -10,35 +10,33 @@
 )
 
 const (
-	// layoutInterval is how often the owner of the first cell looks whether there are workers
-	// that the layout lacks.
+	// layoutInterval is how often the owner of the first cell checks for workers whose rack is not in the layout.
 	layoutInterval = 300 * cottonlanding.Millis(1)
-	// settleTime is how long the number of workers must stand still before the first
-	// layout is made, settleWithin the longest wait for that: the number of cells stays,
-	// and workers that start together are listed over a second or two.
+	// settleTime is how long the number of workers must stay unchanged before the first layout is made, since workers
+	// that start together are listed over one to two seconds and the number of cells is final. maxSettleTime bounds
+	// that wait.
 	settleTime    = 600 * cottonlanding.Millis(1)
 	maxSettleTime = 5 * cottonlanding.Second
-	// ownersTimeout is how long a host waits for all cells to have had an owner before it
-	// takes calls, reportsWithin the same for their reports: what comes before those goes
-	// where there may be no room, and lasting workflows stay there.
+	// ownersTimeout is how long a host waits until all cells have had an owner before it answers calls, reportsTimeout
+	// how long for the owners' reports. Before that, workflows would be referred to cells without capacity, where
+	// lasting ones stay.
 	ownersTimeout  = 4 * cottonlanding.Second
 	reportsTimeout = 2 * cottonlanding.Second
-	// layoutTimeout bounds a call of the table.
+	// layoutTimeout bounds the commit of the layout.
 	layoutTimeout = cottonlanding.Second
 )
 
-// layoutKey names the layout's row, of which the table tells all hosts.
+// layoutKey names the layout's row. It is a watched row, so that the feed delivers it to all hosts.
 var layoutKey = layoutPartition.Key(cottonlanding.WatchedPrefix + "Layout")
 
-// settling watches the number of workers before there is a layout.
+// settling detects that the number of workers has become stable before there is a layout.
 type settling struct {
 	workers int
-	// firstSeenAt is when the list of workers was first seen, unchangedSince when their number last changed.
+	// firstSeenAt is when the list of workers was first available, unchangedSince when their number last changed.
 	firstSeenAt, unchangedSince cottonlanding.Millis
 }
 
-// settled reports whether the number of workers has stood still, or has been awaited for
-// long enough.
+// settled reports whether the number of workers is stable, or the wait for that has reached maxSettleTime.
 func (s *settling) settled(workers int, now cottonlanding.Millis) bool {
 	if s.firstSeenAt == 0 {
 		s.firstSeenAt = now
@@ -49,7 +47,7 @@
 	return workers > 0 && now-s.unchangedSince >= settleTime || now-s.firstSeenAt >= maxSettleTime
 }
 
-// followLayout takes in the newest layout, and writes it if this host owns the first cell.
+// followLayout applies the newest layout, and writes one if this host owns the first cell.
 func (g *Gateway) followLayout(ctx context.Context) {
 	row, known := g.watcher.Row(layoutKey)
 	if !known {
@@ -64,7 +62,7 @@
 	}
 }
 
-// applyLayout puts a layout in force. One that can't be read leaves the last one there.
+// applyLayout puts a layout in force. If it can't be decoded or changes the number of cells, the current one stays.
 func (g *Gateway) applyLayout(row cottonlanding.Row) {
 	if row.Version == g.layoutVersion || row.Version == g.refusedVersion {
 		return
@@ -73,7 +71,7 @@
 	known := g.layout.Load()
 	if err != nil || known != nil && known.Cells != layout.Cells {
 		g.refusedVersion = row.Version
-		g.deps.Log.Error("layout refused, the last one stays", "Version", row.Version, "Error", err)
+		g.deps.Log.Error("invalid layout ignored, the current one stays in force", "Version", row.Version, "Error", err)
 		return
 	}
 	g.layoutVersion = row.Version
@@ -83,12 +81,12 @@
 	g.deps.Log.Info("layout", "Version", row.Version, "Cells", layout.Cells, "Racks", len(layout.Racks))
 }
 
-// writeLayout makes the first layout, or adds the racks that it lacks.
+// writeLayout commits the first layout, or adds the racks that it lacks.
 func (g *Gateway) writeLayout(ctx context.Context, exists bool, now cottonlanding.Millis) {
 	workers, listed := g.deps.ListWorkers()
 	known := g.layout.Load()
 	if !listed || exists != (known != nil) {
-		return // a layout that can't be read isn't replaced
+		return // a layout that can't be decoded isn't replaced
 	}
 	var next partitioner.Layout
 	if known == nil {
@@ -112,7 +110,7 @@
 	g.deps.Log.Info("layout written", "Cells", next.Cells, "Racks", len(next.Racks), "Workers", len(workers), "Error", err)
 }
 
-// Ready reports whether the cells are known and have owners, so that calls can be answered.
+// Ready reports whether the cells are known and have owners, so that calls can be answered. It stays true.
 func (g *Gateway) Ready() bool {
 	if g.ready.Load() {
 		return true
@@ -133,8 +131,7 @@
 	return true
 }
 
-// isReady reports whether the cell has had an owner that told of its room, or was awaited for
-// long enough.
+// isReady reports whether the cell has had an owner that reported its capacity, or whether the wait has timed out.
 func (p *participant) isReady(waited cottonlanding.Millis) bool {
 	view := p.holder.View()
 	if view.Version == 0 {
@@ -144,15 +141,15 @@
 	return told || waited >= reportsTimeout
 }
 
-// cellWorkers holds the workers of a cell as of a list and a layout.
+// cellWorkers caches the workers of a cell for a list and a layout.
 type cellWorkers struct {
 	list   []cottonlanding.WorkerInfo
 	layout *partitioner.Layout
 	own    []cottonlanding.WorkerInfo
 }
 
-// listWorkers returns the cell's workers, the same slice until something changed, and
-// false before they are known.
+// listWorkers returns the cell's workers, and false until they are known. The slice stays the same until the list or
+// the layout changes.
 func (p *participant) listWorkers() ([]cottonlanding.WorkerInfo, bool) {
 	list, known := p.gateway.deps.ListWorkers()
 	layout := p.gateway.layout.Load()
@@ -167,7 +164,7 @@
 	return p.workers.own, true
 }
 
-// isSameSlice reports whether both are the same slice: a new list is a new slice.
+// isSameSlice reports whether a and b are the same slice. Each new list is a new slice.
 func isSameSlice(a, b []cottonlanding.WorkerInfo) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/internal/workflow/gateway/lists.go
+++ b/internal/workflow/gateway/lists.go
@@ -9,12 +9,11 @@
 	"github.com/cottonlanding/cottonlanding/internal/peer/wire"
 )
 
-// firstCell is the one whose owner writes the layout and reads the list of workers for the
-// owners of all other cells.
+// firstCell is the cell whose owner writes the layout and reads the list of workers for the owners of all other cells.
 const firstCell cottonlanding.CellNumber = 0
 
-// listSource returns the host that reads the list of workers for this one, or nil if this
-// one reads it itself: as the owner of the first cell, or while that has none.
+// listSource returns the host that reads the list of workers for this one. It is nil if this host reads the list
+// itself: as the owner of the first cell, or while that has no live owner.
 func (g *Gateway) listSource() relayer.Source {
 	first := g.participant(firstCell)
 	if first == nil || first.isOwner() {
@@ -27,7 +26,7 @@
 	return peerSource{messenger: g.messenger, owner: view.Owner.ID, address: view.Owner.Address}
 }
 
-// peerSource asks another host. It implements relayer.Source.
+// peerSource reads the list of workers from another host. It implements relayer.Source.
 type peerSource struct {
 	messenger *messenger.Messenger
 	owner     cottonlanding.SessionID
@@ -84,7 +83,7 @@
 	return out
 }
 
-// listServer tells the other hosts what this one knows of the list of workers.
+// listServer serves the list of workers to other hosts.
 type listServer struct {
 	wire.UnimplementedListsServer
 	source relayer.Source
--- a/internal/workflow/gateway/lists_test.go
+++ b/internal/workflow/gateway/lists_test.go
@@ -13,10 +13,10 @@
 	"github.com/cottonlanding/cottonlanding/internal/discovery/relayer"
 )
 
-// listPoll is how often the hosts of these tests read the list of workers.
+// listPoll is how often the hosts read the list of workers.
 const listPoll = 50 * time.Millisecond
 
-// listFeed is a list of which each reading tells of one entry that says nothing new.
+// listFeed is a list of workers of which each reading returns one unchanged entry with a new version.
 type listFeed struct{ deployment *deployment }
 
 func (f listFeed) Read(_ context.Context, version cottonlanding.Version, _ cottonlanding.Millis) (cottonlanding.FeedReading, error) {
@@ -38,7 +38,7 @@
 	}, relayer.Timing{AskTimeout: 2000, WholeTimeout: 2000, FeedTimeout: 2000, Fresh: 150, Hold: 1000, Oldest: 2000, DirectFor: 200, KeptFor: 10_000})
 }
 
-// followList reads the list at a host until ctx ends.
+// followList reads the list at a host until ctx is cancelled.
 func followList(ctx context.Context, lists *relayer.Relay) {
 	version := cottonlanding.Version(0)
 	for ctx.Err() == nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestFirstCellOwnerRelaysList checks that the other owners get the list over the
-// network from the owner of the first cell, and from the next one once that is killed.
+// TestFirstCellOwnerRelaysList guards against owners that all read the list of workers from its source, rather than over
+// the network from the owner of the first cell, or from the next owner once that is killed.
 func TestFirstCellOwnerRelaysList(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
@@ -83,12 +83,12 @@
 		}
 		return asking == len(d.lists)-1 && d.listReads.Load()-direct <= 11
 	}
-	require.Eventually(t, relayed, 15*time.Second, time.Millisecond, "two ask, one reads")
+	require.Eventually(t, relayed, 15*time.Second, time.Millisecond, "one host reads the list, the others get it relayed")
 	for at := range d.hosts {
 		stops[0]()
 		stops, d.lists = stops[1:], d.lists[1:]
 		d.kill(at)
 		follow(d.lists[len(d.lists)-1])
 	}
-	require.Eventually(t, relayed, 15*time.Second, time.Millisecond, "the same with the next owners")
+	require.Eventually(t, relayed, 15*time.Second, time.Millisecond, "the list is relayed by the next owner")
 }
--- a/internal/workflow/gateway/ownercalls.go
+++ b/internal/workflow/gateway/ownercalls.go
@@ -17,28 +17,25 @@
 )
 
 const (
-	// ownerSilenceTimeout is how long an owner's beat may stand still for calls to be sent
-	// to it: three polls and a little more. After that they are refused at once,
-	// which is true, rather than sent into the void, of which nobody could tell.
+	// ownerSilenceTimeout is the maximum age of an owner's heartbeat for calls to be sent to it, a little more than
+	// three polls. Calls to a silent owner are refused at once: their outcome would be unknown.
 	ownerSilenceTimeout = 1100 * cottonlanding.Millis(1)
-	// unreachableBackoff is how long a host that can reach neither the table nor the owner
-	// refuses calls before it tries the owner again.
+	// unreachableBackoff is how long a host that can reach neither the table nor the owner refuses calls before it tries
+	// the owner again.
 	unreachableBackoff = cottonlanding.Second
-	// reconnectDelay is how long an owner may say nothing at all while a call waits for it;
-	// then the next calls go over a new connection. It is several times what a commit
-	// takes, and a third of what a client's call may. slowDoubtAfter is the same while
-	// the table is slow, when both take longer.
+	// reconnectDelay is how long an owner may answer no call, while one waits for it, before later calls use a new
+	// connection. It is several times the duration of a commit and a third of a client's time limit.
+	// slowReconnectDelay applies while the table is slow, when both take longer.
 	reconnectDelay     = 400 * cottonlanding.Millis(1)
 	slowReconnectDelay = 800 * cottonlanding.Millis(1)
-	// stateTimeout bounds a question to the owner, so that there is time left to read
-	// the table.
+	// stateTimeout bounds a state query to the owner, so that there is time left to read the table.
 	stateTimeout = 600 * cottonlanding.Millis(1)
-	// maxWaitingAge is how old a count of what waits may be that stands for an owner which
-	// can't be asked.
+	// maxWaitingAge is the maximum age of a count of waiting workflows that is used while the owner can't be reached.
 	maxWaitingAge = 1500 * cottonlanding.Millis(1)
 )
 
-// callOwner calls the owner at another host.
+// callOwner calls the owner at another host. The error is a ReferredError if the workflow is in another cell, and
+// ErrUnavailable, without a call, if the owner is unknown, silent or was unreachable just before.
 func (p *participant) callOwner(ctx context.Context, call func(context.Context, wire.WorkflowsClient) (*wire.WorkflowReply, error)) (*wire.WorkflowReply, error) {
 	owner := p.holder.View().Owner
 	if owner.ID == "" || owner.Member == p.gateway.settings.Self {
@@ -72,9 +69,8 @@
 	return reply, messenger.ErrorOf(reply.GetCode(), reply.GetDetail())
 }
 
-// reconnectTimer lets later calls use a new connection once a call has waited for a while in
-// which the owner answered no other either: the connection may have gone silent. The
-// call itself goes on to wait on the old one.
+// reconnectTimer drops the connection for later calls if the owner answers no call within reconnectDelay, since the
+// connection may be dead without an error. The current call keeps waiting on it.
 func (p *participant) reconnectTimer(owner cottonlanding.Address, connection *grpc.ClientConn) *time.Timer {
 	sent, after := p.gateway.deps.Clock.Now(), reconnectDelay
 	if p.holder.Slow() {
@@ -83,13 +79,12 @@
 	return time.AfterFunc(after.Duration(), func() {
 		if cottonlanding.Millis(p.lastReplyAt.Load()) <= sent {
 			p.gateway.messenger.Drop(owner, connection)
-			p.holder.Nudge() // the owner itself may be gone
+			p.holder.Nudge() // the owner itself may have ended
 		}
 	})
 }
 
-// submit hands in a workflow at its home, or at the cell that its home has referred it
-// to.
+// submit submits a workflow to its home cell, or to the cell to which its home has referred it.
 func (p *participant) submit(ctx context.Context, workflow cottonlanding.Workflow) error {
 	if local := p.local(); local != nil {
 		return p.submitLocal(ctx, local, workflow)
@@ -104,7 +99,7 @@
 	return err
 }
 
-// submitLocal gives a workflow to the driver of this cell.
+// submitLocal submits a workflow to the driver of this cell.
 func (p *participant) submitLocal(ctx context.Context, local *driver.Driver, workflow cottonlanding.Workflow) error {
 	home, err := p.gateway.home(workflow.ID)
 	if err != nil {
@@ -126,8 +121,7 @@
 	return err
 }
 
-// state returns the committed state of a workflow, from the table if the owner can't be
-// asked.
+// state returns the committed state of a workflow, read from the table if the owner can't be reached.
 func (p *participant) state(ctx context.Context, id cottonlanding.WorkflowID) (cottonlanding.WorkflowState, error) {
 	state, err := p.queryState(ctx, id)
 	var referred *driver.ReferredError
@@ -149,14 +143,14 @@
 	return cottonlanding.WorkflowState(reply.GetState()), err
 }
 
-// waitingCount is a count of what waits, as of an instant.
+// waitingCount is the number of waiting workflows of a queue at an instant.
 type waitingCount struct {
 	count int
 	at    cottonlanding.Millis
 }
 
-// waiting counts the workflows of a queue in this cell that have not begun. For an owner
-// that can't be asked its last count stands for a while.
+// waiting returns the number of workflows of a queue in this cell that have not started. If the owner can't be reached,
+// its last count is used for up to maxWaitingAge.
 func (p *participant) waiting(ctx context.Context, queue cottonlanding.QueueName) (int, error) {
 	now := p.gateway.deps.Clock.Now()
 	count, err := p.queryWaiting(ctx, queue)
@@ -191,12 +185,12 @@
 	if len(rows) == 0 {
 		return p.readReferral(ctx, id)
 	}
-	p.gateway.deps.Log.Info("state read from the table", "Workflow", id, "Cell", p.cell, "Version", rows[0].Version)
+	p.gateway.deps.Log.Info("workflow state read from the table instead of the owner", "Workflow", id, "Cell", p.cell, "Version", rows[0].Version)
 	return planner.StateOf(rows[0])
 }
 
-// readReferral reads where a workflow is kept that isn't in this cell. The error is a
-// ReferredError, or ErrNotFound if it is nowhere.
+// readReferral reads the referral of a workflow that isn't in this cell. The error is a ReferredError, or ErrNotFound
+// if there is no referral. A pending referral gives WorkflowPending.
 func (p *participant) readReferral(ctx context.Context, id cottonlanding.WorkflowID) (cottonlanding.WorkflowState, error) {
 	rows, err := p.gateway.deps.Table.Read(ctx, planner.ReferralKey(p.partition, id))
 	if err != nil {
--- a/internal/workflow/gateway/ownerwatch.go
+++ b/internal/workflow/gateway/ownerwatch.go
@@ -12,25 +12,25 @@
 	"github.com/cottonlanding/cottonlanding/internal/peer/wire"
 )
 
-// An owner that is killed is known to be gone once its beat has stood still for its time to live, which is long while
-// the table is slow. Its host's kernel tells at once: it ends the connections of a process, and refuses new
-// ones. So some hosts keep a call open at each owner, which costs nothing while it lasts. A process that is
-// frozen or cut off ends no connection; its beats tell.
+// Heartbeats reveal a killed owner only after their time to live, which is long while the table is slow. The kernel of
+// its host closes the connections of an ended process at once, and refuses new ones. Therefore some hosts keep a call
+// open at each owner, which costs nothing meanwhile. A frozen or partitioned process closes no connection; it is
+// detected by its heartbeats.
 
 const (
-	// watchersPerOwner is how many other owners watch one.
+	// watchersPerOwner is the number of other owners that watch an owner.
 	watchersPerOwner = 2
-	// watchRetryInterval is the pause after a call that has ended although its owner goes on.
+	// watchRetryInterval is the delay before a watch that ended although its owner runs is started again.
 	watchRetryInterval = holderPoll
 )
 
-// ownerWatch is the watch of a host over the process that owns a cell.
+// ownerWatch is a host's watch over the process that owns a cell.
 type ownerWatch struct {
 	version cottonlanding.Version
 	cancel  context.CancelFunc
 }
 
-// updateWatches begins and ends watches after a change of who owns what.
+// updateWatches starts and stops watches after a change of owners.
 func (g *Gateway) updateWatches() {
 	g.watchesMu.Lock()
 	defer g.watchesMu.Unlock()
@@ -49,9 +49,9 @@
 	}
 }
 
-// shouldWatch reports whether this host shouldWatch the owner of the cell: with one cell hosts that would be among the first
-// to take it, with several the next other owners in the order of cells. A host that has just started
-// knows nothing of when owners wrote their last beats, and shouldWatch all.
+// shouldWatch reports whether this host watches the owner of the cell. With one cell the hosts watch that would be among
+// the first to take over; with several cells the next owners in the order of cells. A host that has just started doesn't
+// know the age of heartbeats yet, and watches all owners.
 func (p *participant) shouldWatch(view holder.View) bool {
 	self := p.gateway.settings.Self
 	switch {
@@ -65,7 +65,7 @@
 	return p.gateway.isNextOwner(p.cell, view.Owner.ID)
 }
 
-// isNextOwner reports whether this host is among the next other owners after a cell.
+// isNextOwner reports whether this host is among the next watchersPerOwner other owners in the order of cells.
 func (g *Gateway) isNextOwner(cell cottonlanding.CellNumber, owner cottonlanding.SessionID) bool {
 	participants := *g.participants.Load()
 	seen := make(map[cottonlanding.SessionID]bool)
@@ -81,7 +81,7 @@
 	return false
 }
 
-// watch waits until the process of the owner has ended, and tells the holder.
+// watch waits until the owner's process has ended, and reports that to the holder.
 func (p *participant) watch(ctx context.Context, view holder.View) {
 	for ctx.Err() == nil {
 		outcome := p.awaitProcessEnd(ctx, view.Owner.Member)
@@ -96,15 +96,15 @@
 	}
 }
 
-// watchOutcome is what the end of a watch shows of the process that was watched.
+// watchOutcome is what the end of a watch says about the process.
 type watchOutcome int
 
 const (
-	// watchInconclusive: this host has given up the connection, or the process doesn't offer the call.
+	// watchInconclusive: this host has closed the connection, or the process doesn't support the call.
 	watchInconclusive watchOutcome = iota
-	// connectionBroken: the connection has ended, or can't be made.
+	// connectionBroken: the connection was closed, or can't be made.
 	connectionBroken
-	// otherProcess: another process has answered at the address.
+	// otherProcess: another process answered at the address.
 	otherProcess
 )
 
--- a/internal/workflow/gateway/participant.go
+++ b/internal/workflow/gateway/participant.go
@@ -12,20 +12,20 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// yieldTimeout bounds the hand-over to a host with more room: some tries of a write.
+// yieldTimeout bounds the hand-over of a cell to a larger host. It allows several attempts of a write.
 const yieldTimeout = 5 * cottonlanding.Second
 
-// participant is this host's part in one cell: it follows who owns the cell, and drives the
-// cell while this host does.
+// participant is this host's part in one cell. It follows the cell's owner, and drives the cell while this host owns
+// it.
 type participant struct {
 	gateway   *Gateway
 	cell      cottonlanding.CellNumber
 	partition cottonlanding.Partition
 	holder    *holder.Holder
-	// unreachableUntil is until when calls are refused because neither the table nor the
-	// owner could be reached, in milliseconds of the clock.
+	// unreachableUntil is until when calls are refused because neither the table nor the owner could be reached, in
+	// milliseconds of the clock.
 	unreachableUntil atomic.Int64
-	// lastReplyAt is when an owner last answered a call, on the same clock.
+	// lastReplyAt is when an owner last answered a call, in milliseconds of the clock.
 	lastReplyAt atomic.Int64
 
 	mu          sync.Mutex
@@ -33,9 +33,9 @@
 	lastWaiting map[cottonlanding.QueueName]waitingCount
 	workers     cellWorkers
 	referred    []referredLoad
-	// ownerWatch is this host's watch over the owner, guarded by the gateway's vigilsMu.
+	// ownerWatch is this host's watch over the owner's process, guarded by Gateway.watchesMu.
 	ownerWatch *ownerWatch
-	// unplacedLoggedAt is when it was last logged that no cell has room for a task of this one.
+	// unplacedLoggedAt is when this cell last logged that no other cell has room for a task.
 	unplacedLoggedAt cottonlanding.Millis
 }
 
@@ -72,8 +72,8 @@
 	return p
 }
 
-// isRemote reports whether the cell's workers are of another data centre than this host. A
-// host of theirs goes on to renew their leases when the data centre is cut off.
+// isRemote reports whether all workers of the cell are in another data centre than this host. If that data centre is
+// partitioned from the others, only a host inside can go on to renew their leases.
 func (p *participant) isRemote() bool {
 	layout := p.gateway.layout.Load()
 	if layout == nil {
@@ -83,10 +83,10 @@
 	return single && dataCentre != p.gateway.settings.DataCentre
 }
 
-// isOwner reports whether this host believes to own the cell.
+// isOwner reports whether this host owns the cell as far as it knows.
 func (p *participant) isOwner() bool { return p.holder.ValidUntil() > 0 }
 
-// ownerChanged starts a driver for an ownership of this host and ends the one before.
+// ownerChanged closes the driver of an earlier ownership, and starts one if this host is the owner.
 func (p *participant) ownerChanged(view holder.View) {
 	p.endDriver()
 	p.gateway.updateWatches()
@@ -98,7 +98,7 @@
 	setup := planner.Setup{
 		Partition: p.partition,
 		Epoch:     view.Owner.Epoch,
-		// The owner before renewed leases until it had lost the table for a while.
+		// The previous owner went on to renew leases for CutOffGrace after it had lost the table.
 		BeforeUntil:      view.BeforeUntil + p.gateway.settings.Planner.CutOffGrace,
 		BeforeOwnedUntil: view.BeforeUntil,
 	}
@@ -127,7 +127,7 @@
 	}, setup, p.gateway.settings.Planner, p.gateway.settings.Policy)
 }
 
-// deliver hands a workflow of this home in at the cell that is to keep it.
+// deliver submits a workflow of this home cell to the cell to which it is referred.
 func (p *participant) deliver(ctx context.Context, workflow cottonlanding.Workflow, to cottonlanding.CellNumber) error {
 	destination := p.gateway.participant(to)
 	if destination == nil {
@@ -163,14 +163,14 @@
 	}
 }
 
-// local returns the driver if this host owns the cell.
+// local returns the driver if this host owns the cell, else nil.
 func (p *participant) local() *driver.Driver {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.driver
 }
 
-// leave gives the cell up and keeps this host from owning it again.
+// leave releases the cell and keeps this host from owning it again.
 func (p *participant) leave(ctx context.Context) {
 	p.holder.Leave()
 	old := p.local()
@@ -186,14 +186,13 @@
 	p.mu.Unlock()
 }
 
-// yield hands the cell over to a host that has more room for it. What was decided and
-// isn't committed yet is dropped: a host that is too small for the work may need seconds
-// for that, and nothing was ordered by it.
+// yield hands the cell over to a larger host. It drops decisions that aren't committed yet, which have had no effect on
+// workers: a host that is too small may need seconds to commit them.
 func (p *participant) yield(to holder.Member) {
 	ctx, cancel := context.WithTimeout(context.Background(), yieldTimeout.Duration())
 	defer cancel()
 	if err := p.holder.ReleaseTo(ctx, to); err != nil {
-		p.gateway.deps.Log.Warn("hand over workflows", "Cell", p.cell, "To", to.ID, "Error", err)
+		p.gateway.deps.Log.Warn("could not hand over the cell", "Cell", p.cell, "To", to.ID, "Error", err)
 	}
 	p.holder.Nudge()
 }
--- a/internal/workflow/gateway/peerserver.go
+++ b/internal/workflow/gateway/peerserver.go
@@ -12,13 +12,14 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/driver"
 )
 
-// peerServer answers the other hosts for the cells that this one owns.
+// peerServer serves the calls of other hosts for the cells that this host owns.
 type peerServer struct {
 	wire.UnimplementedWorkflowsServer
 	gateway *Gateway
 }
 
-// owned returns the part of this host in a cell, with its driver.
+// owned returns this host's participant in a cell and its driver. The error is ErrUnavailable if this host doesn't own
+// the cell.
 func (s *peerServer) owned(cell int32) (*participant, *driver.Driver, error) {
 	if p := s.gateway.participant(cottonlanding.CellNumber(cell)); p != nil {
 		if local := p.local(); local != nil {
--- a/internal/workflow/gateway/recorder_test.go
+++ b/internal/workflow/gateway/recorder_test.go
@@ -11,9 +11,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// recorder is a table that notes which cell keeps which workflow, by what is committed. A cell
-// counts each workflow that it accepts, also one that another cell has handed over to it, so that
-// those counts don't tell whether a workflow was accepted twice.
+// recorder is a table that records from the commits which cell holds which workflow. The cells' counters don't show
+// whether a workflow was accepted twice, since they include workflows that were handed over.
 type recorder struct {
 	cottonlanding.Table
 
@@ -22,11 +21,11 @@
 	violations []string
 }
 
-// history says which cells have kept a workflow, in order.
+// history is the sequence of cells that have held a workflow.
 type history struct {
 	holders []cottonlanding.Partition
-	// held says that the last of them keeps it still, moving that it has handed it over to one that
-	// hasn't accepted it yet.
+	// held is true while the last of them holds it, moving after that has handed it over and before another cell has
+	// accepted it.
 	held, moving bool
 }
 
@@ -44,8 +43,8 @@
 	return receipt, err
 }
 
-// record takes in a write of the row that a cell has of each workflow that it keeps. The cell hands
-// the workflow over if it writes in the same transaction where it goes.
+// record records a write of the row that a cell has of each workflow that it holds. A cell hands the workflow over if
+// the transaction also writes its referral.
 func (r *recorder) record(write cottonlanding.Write, all []cottonlanding.Write) {
 	partition, name, _ := strings.Cut(string(write.Key), ":")
 	cell := cottonlanding.Partition(partition)
@@ -63,7 +62,7 @@
 		})
 	} else {
 		if len(known.holders) > 0 && !known.moving {
-			r.violations = append(r.violations, fmt.Sprintf("workflow %s is accepted by %s, but nobody has handed it over: %v", id, cell, known.holders))
+			r.violations = append(r.violations, fmt.Sprintf("workflow %s is accepted by %s without a hand-over from the cells that held it: %v", id, cell, known.holders))
 		}
 		known.holders = append(known.holders, cell)
 		known.held, known.moving = true, false
@@ -71,7 +70,7 @@
 	r.histories[id] = known
 }
 
-// history returns what is known of a workflow.
+// history returns the cells that have held a workflow.
 func (r *recorder) history(id cottonlanding.WorkflowID) history {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +79,7 @@
 	return known
 }
 
-// inconsistencies returns what must never have happened.
+// inconsistencies returns the workflows that a second cell accepted without a hand-over.
 func (r *recorder) inconsistencies() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/workflow/gateway/referrals.go
+++ b/internal/workflow/gateway/referrals.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// referralsInterval is how often owners ask what became of workflows that they referred
-	// long ago, and referralsAtOnce of how many: 14,000 a day are one in six seconds.
+	// referralsInterval is how often owners query old referrals, maxReferralsPerPass how many at a time: together 4 a
+	// second, while 14,000 workflows a day are one in six seconds.
 	referralsInterval   = 5 * cottonlanding.Second
 	maxReferralsPerPass = 20
 )
 
-// resolveReferrals asks the cells that keep workflows of this host's homes whether they
-// still know them, and forgets those that they don't.
+// resolveReferrals asks the cells to which this host's cells have referred or delegated workflows whether they still
+// have them, and drops the records of those that they don't.
 func (g *Gateway) resolveReferrals(ctx context.Context) {
 	for _, p := range *g.participants.Load() {
 		local := p.local()
@@ -35,8 +35,8 @@
 	}
 }
 
-// stateInCell returns the state of a workflow in the cell that keeps it, empty if that has forgotten it, and
-// whether that is known.
+// stateInCell returns the state of a workflow in a cell, empty if the cell no longer has it, and whether the cell
+// answered.
 func (g *Gateway) stateInCell(ctx context.Context, cell cottonlanding.CellNumber, id cottonlanding.WorkflowID) (cottonlanding.WorkflowState, bool) {
 	destination := g.participant(cell)
 	if destination == nil {
--- a/internal/workflow/gateway/silentconnection_test.go
+++ b/internal/workflow/gateway/silentconnection_test.go
@@ -13,24 +13,22 @@
 )
 
 const (
-	// clientTimeout bounds a call of a client, as on the users' platform.
+	// clientTimeout is the time limit of a client's call.
 	clientTimeout = 1200 * time.Millisecond
-	// reconnectWithin is how soon calls must take another connection than one on which
-	// a call waits.
+	// reconnectWithin is how soon later calls must use another connection than one on which a call waits.
 	reconnectWithin = 700 * time.Millisecond
-	// answerTimeout is how long a call waits that must be answered. A call on a silent
-	// connection fails earlier.
+	// answerTimeout is the time limit of calls that must succeed. A call on a silent connection fails earlier.
 	answerTimeout = 10 * time.Second
 )
 
-// submitOnce hands a workflow in with one call.
+// submitOnce submits a workflow with a single call.
 func (d *deployment) submitOnce(host int, id string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return d.hosts[host].Submit(ctx, workflow(cottonlanding.WorkflowID(id)))
 }
 
-// connect makes a host keep a connection to the owner that it has no doubt about.
+// connect waits until a host has a connection to the owner that answers quickly.
 func (d *deployment) connect(host int) {
 	require.Eventually(d.t, func() bool {
 		began := time.Now()
@@ -39,9 +37,9 @@
 	}, answerTimeout, time.Millisecond)
 }
 
-// TestSilentPeerConnections makes the connections between all hosts go
-// silent for good. The call that finds out is answered in its time, as unclear; one
-// that comes a little later is not lost with it, and the next one works.
+// TestSilentPeerConnections guards against calls that are lost because all connections between hosts drop packets
+// without an error. The first call fails in time as ambiguous; a call a little later and the next one must succeed on a
+// new connection.
 func TestSilentPeerConnections(t *testing.T) {
 	d := deploy(t)
 	owner := d.owner()
@@ -58,15 +56,15 @@
 		time.Sleep(reconnectWithin)
 		later := fmt.Sprintf("later%d", round)
 		require.NoError(t, d.submitOnce(host, later, answerTimeout))
-		require.ErrorIs(t, <-lost, cottonlanding.ErrAmbiguous, "it may have arrived")
+		require.ErrorIs(t, <-lost, cottonlanding.ErrAmbiguous, "the call may have been executed")
 		require.NoError(t, d.submitOnce(host, fmt.Sprintf("next%d", round), answerTimeout))
 		require.Equal(t, before+1, d.proxies[owner].Accepted())
 		d.requireSuccess(host, cottonlanding.WorkflowID(later))
 	}
 }
 
-// TestSlowOwnerKeepsConnection checks that an owner that is slow to commit, and
-// answers other calls meanwhile, is not called on ever more connections.
+// TestSlowOwnerKeepsConnection guards against ever more connections to an owner that is slow to commit but answers other
+// calls.
 func TestSlowOwnerKeepsConnection(t *testing.T) {
 	d := deploy(t)
 	owner := d.owner()
@@ -88,7 +86,7 @@
 		case <-time.After(50 * time.Millisecond):
 			ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 			if _, err := d.hosts[host].State(ctx, "first"); errors.Is(err, cottonlanding.ErrNotFound) {
-				t.Error("an accepted workflow is denied")
+				t.Error("an accepted workflow is not found")
 			}
 			cancel()
 		}
--- a/internal/workflow/gateway/timing.go
+++ b/internal/workflow/gateway/timing.go
@@ -9,56 +9,52 @@
 )
 
 const (
-	// holderTTL is how long an owner lasts without a beat: less than the 2 s in
-	// which another should have taken over.
+	// holderTTL is how long an ownership lasts without a heartbeat. Another host is to take over within 2 s.
 	holderTTL     = 1200 * cottonlanding.Millis(1)
 	holderPoll    = 300 * cottonlanding.Millis(1)
 	holderTimeout = 600 * cottonlanding.Millis(1)
-	// holderRestPoll is the poll of hosts that leave the cells to larger ones: nine in ten
-	// of a deployment of 147. An owner that falls silent is seen within three polls.
+	// holderRestPoll is the poll interval of hosts that leave the cells to larger ones, nine in ten of a deployment of
+	// 147 hosts. They notice a silent owner within three polls.
 	holderRestPoll = 2 * holderPoll
-	// holderDelayPerOwned is how much longer a host waits for each cell that it owns already:
-	// as long as the jitter, so that hosts without a cell go first.
+	// holderDelayPerOwned is the additional delay of a host for each cell that it owns already. It is as long as the
+	// jitter, so that hosts without a cell go first.
 	holderDelayPerOwned = holderJitter
-	// holderRemoteDelay is how much longer hosts of other data centres wait than those of the
-	// cell's workers: longer than the jitter, shorter than the handicap of small hosts.
+	// holderRemoteDelay is the additional delay of hosts in another data centre than the cell's workers. It is longer
+	// than the jitter and shorter than holderSmallShareDelay.
 	holderRemoteDelay = 300 * cottonlanding.Millis(1)
-	// slowHolderTTL and slowHolderTimeout are the same while the store takes slowCall
-	// and more: a slow store was seen to take two seconds for a write behind another.
+	// slowHolderTTL and slowHolderTimeout apply while calls of the table take slowCall or longer. A slow table can take
+	// two seconds for a write that is queued behind another.
 	slowHolderTTL     = 4 * cottonlanding.Second
 	slowHolderTimeout = 2500 * cottonlanding.Millis(1)
 	slowCall          = 150 * cottonlanding.Millis(1)
-	// holderSmallShareDelay is how much longer a small host waits than large ones to take
-	// over from a large one: all of those have tried by then, also those that saw the last beat
-	// a poll later and look again a poll after their wait. slowHolderHandicap is
-	// the same while the store is slow.
+	// holderSmallShareDelay is the additional delay of a small host before it takes over from a large one. By then all
+	// large hosts have tried, also those that read the last heartbeat one poll later and read again one poll after
+	// their delay. slowHolderSmallShareDelay applies while the table is slow.
 	holderSmallShareDelay     = 900 * cottonlanding.Millis(1)
 	slowHolderSmallShareDelay = 2 * cottonlanding.Second
-	// holderRestartGrace is how long the next life of a host whose process has ended has to take its cells back: its start
-	// and two calls. Others need as long to take over, and leave the cells where their work was.
+	// holderRestartGrace is how long a host whose process has ended has to restart and take its cells back, with two
+	// calls of the table. Another host would need as long to take over, and the cells stay with their host.
 	holderRestartGrace = 600 * cottonlanding.Millis(1)
-	// holderFirstOwnerDelay spreads hosts by size when nobody has owned anything yet, which
-	// is well before traffic starts.
+	// holderFirstOwnerDelay orders hosts by size if no cell has had an owner yet. It ends well before traffic starts.
 	holderFirstOwnerDelay = 2 * cottonlanding.Second
-	// cutOffGrace is how long an owner that lost the store keeps renewing leases.
-	// With a lease it covers outages of nine seconds, the longest that were seen.
+	// cutOffGrace is how long an owner that has lost the table keeps renewing leases. Together with a lease it covers
+	// table outages of nine seconds, the longest observed.
 	cutOffGrace = 2 * cottonlanding.Second
-	// leaseExtension is by how much more than a lease the leases of an owner last after it surely owned its cell: with
-	// the time to live they outlast an outage of eight seconds, and a lasting task that is lost together with its
-	// owner runs again within nine.
+	// leaseExtension is how much longer than one lease an owner's leases may last after its guaranteed ownership. With
+	// holderTTL they outlast a table outage of eight seconds, and a lasting task that is lost together with its owner
+	// runs again within nine.
 	leaseExtension = cottonlanding.Second
-	// maxPlannerLease bounds leases below what workers grant: a worker that is gone for
-	// good, and its owner with it, must be given up within ten seconds or so.
+	// maxPlannerLease bounds leases below what workers grant. A worker that is lost together with its owner must be given
+	// up within about ten seconds.
 	maxPlannerLease = 6 * cottonlanding.Second
-	// holderJitter spreads the hosts that would take over at the same moment;
-	// slowHolderJitter is the same while the store is slow: eight writes of one row
-	// then take four seconds.
+	// holderJitter spreads hosts that would take over at the same moment. slowHolderJitter applies while the table is
+	// slow: eight writes of one row then take four seconds.
 	holderJitter     = 250 * cottonlanding.Millis(1)
 	slowHolderJitter = 2 * cottonlanding.Second
 )
 
-// HolderTiming returns the spans of ownership. With reclaim, a host takes what an earlier
-// life of its own held at once.
+// HolderTiming returns the timing of ownership. With reclaim, a host takes back the cells of its earlier process
+// without delay.
 func HolderTiming(reclaim bool) holder.Timing {
 	return holder.Timing{
 		Reclaim:             reclaim,
@@ -81,22 +77,21 @@
 }
 
 const (
-	// checkedCallTime is up to which length of the table's calls a killed owner is replaced for sure before its workers'
-	// leases run out.
+	// checkedCallTime is the longest duration of a table call at which a killed owner must be replaced before the leases
+	// of its workers expire.
 	checkedCallTime = 300 * cottonlanding.Millis(1)
-	// killDetectionTime is how long those that watch a process take to know that it was killed.
+	// killDetectionTime is how long the hosts that watch a process take to detect that it was killed.
 	killDetectionTime = 150 * cottonlanding.Millis(1)
-	// takeOverCalls is how many calls of the table are made one after the other from then until a new owner renews
-	// leases: a look at the beats, the owner row without an owner, its news, the owner row with the new one; two
-	// for the fence, two for the rows.
+	// takeOverCalls is the number of successive table calls from then until the new owner renews leases: read the
+	// heartbeats, clear the owner row, receive the update, write the owner row, two for the fence, two for the rows.
 	takeOverCalls = 8
-	// leaseRenewalDivisor is the part of a lease, as a divisor, that is used up when it is renewed.
+	// leaseRenewalDivisor gives the part of a lease, as a divisor, that may be used up when it is renewed.
 	leaseRenewalDivisor = 4
 )
 
-// CheckTakeOverTime returns an error that names the spans if an owner that is killed while the table is slow may be replaced only
-// after its workers' leases have run out, so that their lasting tasks are interrupted. It is for hosts of
-// similar size; small ones that have to wait for large ones may need longer.
+// CheckTakeOverTime returns an error if an owner that is killed while the table is slow may be replaced only after the
+// leases of its workers have expired, which interrupts their lasting tasks. It applies to hosts of similar size; small
+// hosts that wait for large ones may take longer.
 func CheckTakeOverTime(timing holder.Timing, lease cottonlanding.Millis) error {
 	remaining := lease - lease/leaseRenewalDivisor
 	waits := timing.Jitter + timing.SlowSpan(timing.Jitter, timing.SlowJitter, checkedCallTime) + 2*timing.DelayPerOwned + timing.Remote
@@ -107,18 +102,17 @@
 }
 
 const (
-	// maxWorkersPerCell is how many workers a cell has at most, by intent: with as many, deciding
-	// for all their tasks takes a third of a turn.
+	// maxWorkersPerCell is the maximum number of workers of a cell. With these, the decisions for all tasks take a third
+	// of the time between two decisions.
 	maxWorkersPerCell = 250
-	// workersPerCore and workersPerMegabit are how many workers' tasks an owner carries
-	// with a third of its processor and of its link: one with 1,100 workers and 2.7 starts
-	// a second on each was seen to use 0.57 of a core and 16 to 30 Mbit/s.
+	// workersPerCore and workersPerMegabit are the numbers of workers that an owner serves with a third of its CPU and
+	// of its link. An owner of 1,100 workers with 2.7 starts a second on each uses 0.57 of a core and 16 to 30 Mbit/s.
 	workersPerCore    = 640
 	workersPerMegabit = 12.5
 )
 
-// WorkersPerCell returns how many workers a cell should have if hosts like this one are
-// to carry one each.
+// WorkersPerCell returns the number of workers that a cell should have so that a host like this one can own one cell.
+// Share is in cores; a share or link of 0 sets no limit.
 func WorkersPerCell(share float64, link cottonlanding.Megabits) int {
 	workers := float64(maxWorkersPerCell)
 	if share > 0 {
@@ -130,9 +124,8 @@
 	return max(1, int(workers))
 }
 
-// PlannerTiming returns the spans of the decisions, from what workers promise: the
-// longest lease that they grant, how long they take to stop a run, and for how long
-// the state of a final workflow can be asked for.
+// PlannerTiming returns the timing of decisions. The arguments are guarantees of the workers: the longest lease that
+// they grant, how long they take to stop a run, and how long the state of a final workflow must be available.
 func PlannerTiming(lease, stopTimeout, retention cottonlanding.Millis) planner.Timing {
 	return planner.Timing{
 		Lease:                 min(lease, maxPlannerLease),
--- a/internal/workflow/gateway/timing_test.go
+++ b/internal/workflow/gateway/timing_test.go
@@ -10,28 +10,28 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/gateway"
 )
 
-// TestTimingRelations checks the relations that the spans need to one another.
+// TestTimingRelations guards against a change of one duration that breaks its relation to another one.
 func TestTimingRelations(t *testing.T) {
 	timing := gateway.HolderTiming(true)
 	require.Positive(t, timing.Poll)
-	require.Less(t, timing.Poll+timing.Timeout, timing.TTL, "a beat may be lost once")
+	require.Less(t, timing.Poll+timing.Timeout, timing.TTL, "one heartbeat may be lost")
 	require.Greater(t, timing.SlowTimeout, timing.Timeout, "a slow table gets more time")
 	require.Less(t, timing.Poll+timing.SlowTimeout, timing.SlowTTL)
-	require.Less(t, timing.TTL+timing.Poll+timing.Jitter, 2*cottonlanding.Second, "a kill is noticed within two seconds")
-	require.Less(t, timing.TTL+timing.SmallShareDelay+timing.Jitter, 2400*cottonlanding.Millis(1), "also when only small hosts are left")
+	require.Less(t, timing.TTL+timing.Poll+timing.Jitter, 2*cottonlanding.Second, "a killed owner is replaced within two seconds")
+	require.Less(t, timing.TTL+timing.SmallShareDelay+timing.Jitter, 2400*cottonlanding.Millis(1), "small hosts replace a killed large owner within 2.4 s")
 	require.Greater(t, timing.SmallShareDelay, 2*timing.Poll+timing.Jitter, "all large hosts try before a small one")
 	require.GreaterOrEqual(t, timing.SlowSmallShareDelay, timing.SlowJitter)
 	require.Greater(t, timing.SmallShareDelay, timing.Remote+timing.DelayPerOwned+timing.Jitter, "a large host of another data centre with a cell goes before a small one")
 	require.GreaterOrEqual(t, timing.DelayPerOwned, timing.Jitter, "hosts without a cell go first")
-	require.Less(t, timing.RestPoll+timing.Timeout, 2*cottonlanding.Second, "a host that rests stays ready")
+	require.Less(t, timing.RestPoll+timing.Timeout, 2*cottonlanding.Second, "the rest poll is frequent enough for a host to stay ready")
 	require.Greater(t, timing.FirstOwnerDelay, timing.Jitter)
 	planner := gateway.PlannerTiming(30*cottonlanding.Second, 900, cottonlanding.Minute)
 	require.LessOrEqual(t, planner.Lease+planner.CutOffGrace, 8*cottonlanding.Second)
 	require.Equal(t, 3*cottonlanding.Second, gateway.PlannerTiming(3*cottonlanding.Second, 900, cottonlanding.Minute).Lease)
 }
 
-// TestLeaseCoversTakeOver: with the spans of service, leases ran out before a killed owner was replaced while
-// the table was slow, and nothing said so.
+// TestLeaseCoversTakeOver guards against leases that expire before a killed owner is replaced while the table is slow.
+// The durations in service caused that unnoticed.
 func TestLeaseCoversTakeOver(t *testing.T) {
 	timing := gateway.HolderTiming(true)
 	service := gateway.PlannerTiming(30*cottonlanding.Second, 900, cottonlanding.Minute)
@@ -39,11 +39,11 @@
 	require.ErrorContains(t, gateway.CheckTakeOverTime(timing, 3*cottonlanding.Second), "a lease of 3s has 2.25s left")
 	timing.SlowJitter, timing.Jitter = 3*cottonlanding.Second, cottonlanding.Second
 	require.Error(t, gateway.CheckTakeOverTime(timing, service.Lease))
-	require.Greater(t, gateway.HolderTiming(true).RestartGrace, gateway.HolderTiming(true).Poll, "a next life has time to start")
+	require.Greater(t, gateway.HolderTiming(true).RestartGrace, gateway.HolderTiming(true).Poll, "a restarted host has time to take its cells back")
 }
 
-// TestDowntimeWithinLimit: nobody had added up for how long the waits of one owner can keep a lasting
-// task down, one after the other, and five of them had no bound.
+// TestDowntimeWithinLimit guards against waits of one owner that are unbounded, or that in sequence keep a lasting task
+// down for longer than allowed.
 func TestDowntimeWithinLimit(t *testing.T) {
 	service := gateway.PlannerTiming(30*cottonlanding.Second, 900, cottonlanding.Minute)
 	require.NoError(t, driver.CheckDown(service))
