--- a/internal/workflow/gateway/gauges.go
+++ b/internal/workflow/gateway/gauges.go
@@ -26,7 +26,7 @@
 		"runs_lost":           counts.Lost,
 		"workflows_convicted": counts.FailedByCrashes,
 		"runs_stuck":          counts.Stuck,
-		"runs_evicted":        counts.Evicted,
+		"runs_evicted":        counts.Preempted,
 		"tasks_delegated":     counts.Delegated,
 	} {
 		gauge(name, float64(count))
--- a/internal/workflow/planner/adoptedrun_test.go
+++ b/internal/workflow/planner/adoptedrun_test.go
@@ -12,9 +12,9 @@
 // when it last progressed and its pace. The first copy of a start is late, the second one begins at once, and the
 // next life takes the first one.
 
-// startTwice plays a task that has begun on the first worker, which falls silent after a span and is back with it two
+// restartDuringRun plays a task that has begun on the first worker, which falls silent after a span and is back with it two
 // seconds later.
-func startTwice(w *world, span cottonlanding.Millis) {
+func restartDuringRun(w *world, span cottonlanding.Millis) {
 	w.settleStops()
 	w.commit()
 	w.orders(func() string { return "late" })
@@ -37,7 +37,7 @@
 func TestNextLifeRunRestartsProgress(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
-	startTwice(w, 3*cottonlanding.Second)
+	restartDuringRun(w, 3*cottonlanding.Second)
 	require.Zero(t, w.cell.Counts().Stuck)
 }
 
@@ -51,7 +51,7 @@
 	w.relist()
 	w.pollAll()
 	require.Contains(t, w.cell.Fingerprint(w.now), "{1 1}")
-	startTwice(w, 9*cottonlanding.Second)
+	restartDuringRun(w, 9*cottonlanding.Second)
 	w.turn(turnSpan)
 	require.Contains(t, w.cell.Fingerprint(w.now), "{1 1}", "the run time on the previous life must not clear the task")
 }
@@ -61,7 +61,7 @@
 func TestLossOfNextLifeRunCounts(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
-	startTwice(w, 9*cottonlanding.Second)
+	restartDuringRun(w, 9*cottonlanding.Second)
 	w.restartWorker(0)
 	w.relist()
 	w.pollAll()
--- a/internal/workflow/planner/blame.go
+++ b/internal/workflow/planner/blame.go
@@ -32,7 +32,7 @@
 func suspectsAmong(lost []*run, at cottonlanding.Millis) []*run {
 	prompt := make([]*run, 0, len(lost))
 	for _, r := range lost {
-		if r.beganJustBefore(at) {
+		if r.beganInPromptWindow(at) {
 			prompt = append(prompt, r)
 		}
 	}
@@ -47,7 +47,7 @@
 func countableLosses(w *worker, runs []*run, at cottonlanding.Millis) []*run {
 	var lost []*run
 	for _, r := range runs {
-		if r.mayHaveJustBegun(at) || r.mayHaveBegunSoonBefore(at) && !w.endExpectedFor(r) {
+		if r.mayHaveBegunSincePromptWindow(at) || r.mayHaveBegunSinceRecentWindow(at) && !w.endExpectedFor(r) {
 			lost = append(lost, r)
 		}
 	}
@@ -64,7 +64,7 @@
 	suspects := suspectsAmong(lost, at)
 	crash := c.crashView(w, at)
 	end := cottonlanding.RunLoss{
-		LifeEnded:     why != lossByLapse,
+		LifeEnded:     why != lossByExpiry,
 		Answered:      w.lastAnswerAt > 0,
 		Recent:        true,
 		Unstable:      w.isUnstable(at),
@@ -81,7 +81,7 @@
 		finding := c.assessLoss(r, loss)
 		summaries = append(summaries, fmt.Sprintf("%s#%d seen for %d %s losses %d crashes %d", r.Task, r.Number, r.observedFor(),
 			finding, r.task.crashes.Losses, r.task.crashes.Crashes))
-		suspect := cottonlanding.SuspectView{Record: r.task.crashes, Finding: finding, SoleSuspect: len(suspects) == 1, JustStarted: r.beganJustBefore(at), Crash: crash}
+		suspect := cottonlanding.SuspectView{Record: r.task.crashes, Finding: finding, SoleSuspect: len(suspects) == 1, JustStarted: r.beganInPromptWindow(at), Crash: crash}
 		if finding > cottonlanding.NoProof && c.shouldGiveUp(suspect) {
 			faultyTasks = append(faultyTasks, r.task)
 		}
@@ -96,9 +96,9 @@
 func lossOf(end cottonlanding.RunLoss, w *worker, r *run, standsOut bool) cottonlanding.RunLoss {
 	loss := end
 	loss.LifeEnded = end.LifeEnded || r.isUntraceable()
-	loss.Unstable = end.Unstable || slices.Contains(w.predecessorSuspects, r.task)
+	loss.Unstable = end.Unstable || slices.Contains(w.previousLifeSuspects, r.task)
 	loss.StartConfirmed = r.ackedAt > 0
-	loss.Outlived = r.outlived
+	loss.Outlived = r.outlastedPromptWindow
 	loss.Leaving = w.endExpectedFor(r)
 	loss.StandsOut = standsOut
 	return loss
@@ -187,7 +187,7 @@
 // clear resets the losses of a task whose run has lasted for recentWindow.
 func (c *Cell) clear(r *run, now cottonlanding.Millis) {
 	t := r.task
-	if t == nil || t.run != r || !t.suspected() {
+	if t == nil || t.run != r || !t.hasLossHistory() {
 		return
 	}
 	if r.ackedAt == 0 || now-r.ackedAt < recentWindow {
--- a/internal/workflow/planner/blockedlog.go
+++ b/internal/workflow/planner/blockedlog.go
@@ -27,20 +27,20 @@
 // logBlocked logs what blocks each lasting task that was placed before and is down, those that were logged longest
 // ago first.
 func (c *Cell) logBlocked(now cottonlanding.Millis) {
-	left := c.downtimes.budget.left(now)
-	if left <= 0 || len(c.downtimes.open) == 0 {
+	left := c.downtimeLogs.budget.left(now)
+	if left <= 0 || len(c.downtimeLogs.open) == 0 {
 		return
 	}
-	var blocked []*downtime
-	for _, d := range c.downtimes.open {
+	var blocked []*downtimeLog
+	for _, d := range c.downtimeLogs.open {
 		if d.logsBlocked(now) {
 			blocked = append(blocked, d)
 		}
 	}
-	slices.SortStableFunc(blocked, func(a, b *downtime) int { return cmp.Compare(a.loggedAt, b.loggedAt) })
+	slices.SortStableFunc(blocked, func(a, b *downtimeLog) int { return cmp.Compare(a.loggedAt, b.loggedAt) })
 	for _, d := range blocked[:min(left, len(blocked))] {
 		d.loggedAt, d.loggedPlaced = now, d.task.run != nil
-		c.downtimes.budget.lines++
+		c.downtimeLogs.budget.lines++
 		if d.task.run != nil {
 			c.logNotStarted(d.task.run, now)
 			continue
@@ -50,7 +50,7 @@
 }
 
 // logsBlocked reports whether a line on what blocks the task may be logged now.
-func (d *downtime) logsBlocked(now cottonlanding.Millis) bool {
+func (d *downtimeLog) logsBlocked(now cottonlanding.Millis) bool {
 	sameReason := d.loggedPlaced == (d.task.run != nil)
 	if d.isOver() || sameReason && d.loggedAt > 0 && now-d.loggedAt < waitLogInterval {
 		return false
@@ -67,7 +67,7 @@
 	c.logs.lasting.Info("placed task doesn't run", "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "PlacedBefore", now-r.placedAt,
 		"Phase", r.phase.String(), "SentBefore", elapsedSince(r.sentAt, now), "Copies", r.retriesSincePoll, "Ordered", r.orderInFlight, "Doubtful", r.startUnconfirmed,
 		"Reason", r.stopReason, "StopTaken", r.lastStopAckAt > 0, "LastAnswer", elapsedSince(w.lastAnswerAt, now), "Silent", w.pollFailed,
-		"Cordoned", w.cordoned(), "StartsHeld", c.startsHeld, "MayStart", r.task.job.mayStart(now))
+		"Cordoned", w.cordoned(), "StartsHeld", c.startsSuspended, "MayStart", r.task.job.mayStart(now))
 }
 
 // String returns the name of the phase for the log.
--- a/internal/workflow/planner/cell.go
+++ b/internal/workflow/planner/cell.go
@@ -60,8 +60,8 @@
 	silentSince map[cottonlanding.DataCentre]cottonlanding.Millis
 	// evacuations says where nothing new may start.
 	evacuations cottonlanding.Evacuations
-	// startsHeld says that no starts are issued because the information at hand is too old.
-	startsHeld bool
+	// startsSuspended says that no starts are issued because the information at hand is too old.
+	startsSuspended bool
 
 	jobs     map[cottonlanding.WorkflowID]*job
 	openJobs []*job // in the order of acceptance
@@ -83,8 +83,8 @@
 	remote map[cottonlanding.WorkflowID]*job
 	// interruptedCursor and delegableCursor are where the next call of DelegableTasks resumes.
 	interruptedCursor, delegableCursor taskCursor
-	// unheardCursor is where the next call of abandonOverdueStarts resumes.
-	unheardCursor taskCursor
+	// overdueStartsCursor is where the next call of abandonOverdueStarts resumes.
+	overdueStartsCursor taskCursor
 	// delegationChanged says that something was committed that must be reported to delegate cells.
 	delegationChanged bool
 	// report is the capacity left in the cell at reportedAt; reportable says that the cell had usable workers then.
@@ -117,10 +117,10 @@
 	// reserved is the capacity reserved for interrupted lasting tasks as of the last decision.
 	reserved reservations
 	// superseded says that a worker has seen a newer owner.
-	superseded bool
-	counts     Counts
-	logBatch   logBatch
-	downtimes  downtimes
+	superseded   bool
+	counts       Counts
+	logBatch     logBatch
+	downtimeLogs downtimeLogs
 }
 
 // Counts counts the decisions in a cell since its owner took it over.
@@ -138,8 +138,8 @@
 	FailedByCrashes int64
 	// Stuck counts runs that were stopped because they made no progress.
 	Stuck int64
-	// Evicted counts runs that were preempted by more urgent ones.
-	Evicted int64
+	// Preempted counts runs that were preempted by more urgent ones.
+	Preempted int64
 	// Referred counts workflows that were referred to another cell.
 	Referred int64
 	// HandedOver counts waiting workflows that were handed over to another cell.
@@ -161,7 +161,7 @@
 	c.Lost += other.Lost
 	c.FailedByCrashes += other.FailedByCrashes
 	c.Stuck += other.Stuck
-	c.Evicted += other.Evicted
+	c.Preempted += other.Preempted
 	c.Referred += other.Referred
 	c.HandedOver += other.HandedOver
 	c.Delegated += other.Delegated
@@ -192,7 +192,7 @@
 		remote:             make(map[cottonlanding.WorkflowID]*job),
 		referrals:          make(map[cottonlanding.WorkflowID]*referral),
 		unplannedReferrals: make(map[cottonlanding.WorkflowID][]func(error)),
-		interference:       newPressure(policy.Disturbance),
+		interference:       newInterference(policy.Disturbance),
 		openLivesByWorker:  make(map[cottonlanding.WorkerID]*openLives),
 		counts:             Counts{Ends: make(map[cottonlanding.EndKind]int64)},
 	}
--- a/internal/workflow/planner/checkpoint.go
+++ b/internal/workflow/planner/checkpoint.go
@@ -61,17 +61,17 @@
 // which the gang's run is started. Owners of older code have also stored checkpoints that are not valid, which
 // count as none.
 func (t *task) loadCheckpoint(row taskRow, now cottonlanding.Millis) {
-	k := t.checkpointHolder()
-	if !t.stage.Checkpoints || k.checkpoint.text != "" || k.resumeFrom.text != "" {
+	holder := t.checkpointHolder()
+	if !t.stage.Checkpoints || holder.checkpoint.text != "" || holder.resumeFrom.text != "" {
 		return
 	}
-	k.checkpoint = knownCheckpoint{
+	holder.checkpoint = knownCheckpoint{
 		text: cottonlanding.NewCheckpoint(string(row.Checkpoint)), how: checkpointLoaded,
 		run: row.Number, worker: row.Life.Worker, at: now,
 	}
-	k.resumeFrom = k.checkpoint
+	holder.resumeFrom = holder.checkpoint
 	if row.ResumeFrom != nil {
-		k.resumeFrom.text = cottonlanding.NewCheckpoint(string(*row.ResumeFrom))
+		holder.resumeFrom.text = cottonlanding.NewCheckpoint(string(*row.ResumeFrom))
 	}
 }
 
@@ -102,8 +102,8 @@
 // pinCheckpoint makes the run that is being placed start with the newest checkpoint. The members of a gang are
 // placed at one instant, so that no report comes in between.
 func (t *task) pinCheckpoint() {
-	k := t.checkpointHolder()
-	k.resumeFrom = k.checkpoint
+	holder := t.checkpointHolder()
+	holder.resumeFrom = holder.checkpoint
 }
 
 // startCheckpoint returns the checkpoint for each start of a task's current run, and logs it.
--- a/internal/workflow/planner/datacentresilence.go
+++ b/internal/workflow/planner/datacentresilence.go
@@ -36,8 +36,8 @@
 	return s.unanswered >= minSilentWorkers && now-s.since >= maxAnswerDelay && now-s.lastContactAt >= maxAnswerDelay
 }
 
-// recordGiven records that an order was given out to the worker.
-func (w *worker) recordGiven(now cottonlanding.Millis) {
+// recordIssued records that an order was given out to the worker.
+func (w *worker) recordIssued(now cottonlanding.Millis) {
 	if w.unansweredSince == 0 {
 		w.unansweredSince = now
 	}
@@ -51,9 +51,9 @@
 // answerErrors are the errors that come from the worker itself, so that they show that it is reachable.
 var answerErrors = []error{cottonlanding.ErrConflict, cottonlanding.ErrBusy, cottonlanding.ErrOtherLife, cottonlanding.ErrStaleEpoch}
 
-// recordOrderOutcome records whether an order was answered, got no answer, or wasn't sent. The last says nothing
+// updateContact records whether an order was answered, got no answer, or wasn't sent. The last says nothing
 // about the worker.
-func (w *worker) recordOrderOutcome(err error, now cottonlanding.Millis) {
+func (w *worker) updateContact(err error, now cottonlanding.Millis) {
 	isErr := func(answer error) bool { return errors.Is(err, answer) }
 	switch {
 	case err == nil || slices.ContainsFunc(answerErrors, isErr):
--- a/internal/workflow/planner/delegated.go
+++ b/internal/workflow/planner/delegated.go
@@ -84,7 +84,7 @@
 			response.Reports = append(response.Reports, c.endDelegated(asked.Workflow.ID, now))
 			continue
 		}
-		j := c.holdDelegated(request.Delegator, asked, now)
+		j := c.acceptDelegated(request.Delegator, asked, now)
 		if j == nil {
 			continue
 		}
@@ -96,9 +96,9 @@
 	return response
 }
 
-// holdDelegated accepts the requested tasks that this cell doesn't hold yet. It returns nil for a workflow that it
+// acceptDelegated accepts the requested tasks that this cell doesn't hold yet. It returns nil for a workflow that it
 // can't accept.
-func (c *Cell) holdDelegated(delegator cottonlanding.CellNumber, asked DelegatedWorkflow, now cottonlanding.Millis) *job {
+func (c *Cell) acceptDelegated(delegator cottonlanding.CellNumber, asked DelegatedWorkflow, now cottonlanding.Millis) *job {
 	j := c.jobs[asked.Workflow.ID]
 	if j == nil {
 		j = c.addDelegated(delegator, asked, now)
@@ -131,7 +131,7 @@
 	}
 	j := newJob(asked.Workflow, queue, now)
 	j.spec, j.delegatedBy, j.placed, j.state = spec, &delegator, true, cottonlanding.WorkflowRunning
-	j.eachTask(func(t *task) { t.setRemote(taskNotHeld) })
+	j.eachTask(func(t *task) { t.setHolderState(taskNotHeld) })
 	c.addJob(j)
 	c.markDirty(j)
 	c.log.Info("guest accepted", "Workflow", j.ID, "Keeper", delegator, "Epoch", c.setup.Epoch)
@@ -140,11 +140,11 @@
 
 // acceptDelegatedTask accepts a task from its delegator.
 func (c *Cell) acceptDelegatedTask(t *task, requested DelegatedTask, now cottonlanding.Millis) {
-	t.setRemote(taskWaiting)
+	t.setHolderState(taskWaiting)
 	t.number, t.crashes, t.waitingSince, t.lastRunningAt = requested.Number, requested.Crashes, now, 0
 	t.stage.ready = true
 	t.adoptCheckpoint(requested, now)
-	c.recordDelegatedDown(t, now)
+	c.beginDelegatedDowntime(t, now)
 	c.markDirty(t.job)
 	c.reportedAt = 0
 	c.log.Info("guest task accepted", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.delegatedBy)
@@ -208,7 +208,7 @@
 
 // returnDelegatedTask returns a task. Its number rises by one, so that no earlier request can have it accepted again.
 func (c *Cell) returnDelegatedTask(t *task, now cottonlanding.Millis) {
-	t.setRemote(taskNotHeld)
+	t.setHolderState(taskNotHeld)
 	t.number++
 	c.markDirty(t.job)
 	c.reportedAt = 0
--- a/internal/workflow/planner/delegation.go
+++ b/internal/workflow/planner/delegation.go
@@ -124,8 +124,8 @@
 	return cottonlanding.CellNumber(number), err == nil
 }
 
-// setRemote sets the state of a task without a run when this cell begins or ceases to hold it.
-func (t *task) setRemote(state taskState) {
+// setHolderState sets the state of a task without a run when this cell begins or ceases to hold it.
+func (t *task) setHolderState(state taskState) {
 	t.job.size.remote += len(state) - len(t.state)
 	t.state = state
 }
@@ -162,13 +162,13 @@
 type taskCursor struct{ next int }
 
 // nextTasks returns up to most tasks, beginning after those that it returned last.
-func (r *taskCursor) nextTasks(tasks []*task, most int) []*task {
+func (c *taskCursor) nextTasks(tasks []*task, most int) []*task {
 	count := min(len(tasks), most)
 	if count == 0 {
 		return nil
 	}
-	first := r.next % len(tasks)
-	r.next = first + count
+	first := c.next % len(tasks)
+	c.next = first + count
 	return slices.Concat(tasks[first:], tasks[:first])[:count]
 }
 
@@ -206,7 +206,7 @@
 		c.logRowFull(t, now)
 		return
 	}
-	t.setRemote(state)
+	t.setHolderState(state)
 	t.delegationCommitted = false
 	c.remote[t.job.ID] = t.job
 	c.markDirty(t.job)
@@ -290,7 +290,7 @@
 func (c *Cell) forgetDelegatedTasks(j *job, cell cottonlanding.CellNumber) {
 	j.eachTask(func(t *task) {
 		if at, found := t.delegateCell(); found && at == cell {
-			t.setRemote(taskWaiting)
+			t.setHolderState(taskWaiting)
 			c.markDirty(j)
 		}
 	})
@@ -309,19 +309,19 @@
 	if reported.Running {
 		t.lastRunningAt = now
 		c.markStartedRemotely(j)
-		c.recordRunsElsewhere(t, reported.Number, from, now)
+		c.endDowntimeElsewhere(t, reported.Number, from, now)
 	}
 	if !reported.Returned || reported.Number == t.number || j.state.Final() {
 		return // or the response is about an earlier delegation
 	}
-	t.setRemote(taskWaiting)
+	t.setHolderState(taskWaiting)
 	t.number, t.crashes = reported.Number, reported.Crashes
 	t.adoptCheckpoint(reported, now)
 	if t.returnedBy == nil {
 		t.returnedBy = make(map[cottonlanding.CellNumber]cottonlanding.Millis)
 	}
 	t.returnedBy[from], t.returnedAt, t.waitingSince = now, now, now-reported.Waited
-	c.recordReturned(t, from, now)
+	c.beginReturnedDowntime(t, from, now)
 	c.markDirty(j)
 	c.pruneRemote(j)
 	c.log.Info("delegated task returned", "Task", t.ref.String(), "Run", t.number, "From", from, "Waited", now-t.waitingSince)
--- a/internal/workflow/planner/down.go
+++ b/internal/workflow/planner/down.go
@@ -30,8 +30,8 @@
 	maxAbandonedPerDecision = 10
 )
 
-// recordRunning records that the run was seen running.
-func (r *run) recordRunning(now cottonlanding.Millis) {
+// markTaskRunning records that the run was seen running.
+func (r *run) markTaskRunning(now cottonlanding.Millis) {
 	if t := r.task; t != nil && t.run == r {
 		t.lastRunningAt, t.abandonedStarts = now, 0
 	}
@@ -64,7 +64,7 @@
 			}
 		})
 	}
-	for _, t := range c.unheardCursor.nextTasks(startOverdue, maxAbandonedPerDecision) {
+	for _, t := range c.overdueStartsCursor.nextTasks(startOverdue, maxAbandonedPerDecision) {
 		if c.fitsOnOtherWorker(t, now) {
 			t.abandonedStarts++
 			t.failedOn = append(t.failedOn, t.run.worker.life())
--- a/internal/workflow/planner/downtime.go
+++ b/internal/workflow/planner/downtime.go
@@ -7,8 +7,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// downtime is a period in which a lasting task that was placed before is not known to run.
-type downtime struct {
+// downtimeLog is a period in which a lasting task that was placed before is not known to run.
+type downtimeLog struct {
 	task *task
 	// number is that of the run at whose end the downtime began.
 	number cottonlanding.RunNumber
@@ -23,9 +23,9 @@
 	loggedPlaced bool
 }
 
-// downtimes holds the open downtimes of a cell, and the beginnings and ends that are still to be logged.
-type downtimes struct {
-	open   []*downtime
+// downtimeLogs holds the open downtimeLogs of a cell, and the beginnings and ends that are still to be logged.
+type downtimeLogs struct {
+	open   []*downtimeLog
 	downs  []downLine
 	starts []downLine
 	budget blockedLogBudget
@@ -71,14 +71,14 @@
 // mayHaveRun reports whether the run may have begun on its worker.
 func (r *run) mayHaveRun() bool { return r.lastConfirmedAt() > 0 || r.startUnconfirmed }
 
-// recordDown records that the run of a lasting task does not go on. It is called before the run is detached from
+// beginDowntimeAfterRun records that the run of a lasting task does not go on. It is called before the run is detached from
 // its task.
-func (c *Cell) recordDown(r *run, cause string, now cottonlanding.Millis) {
+func (c *Cell) beginDowntimeAfterRun(r *run, cause string, now cottonlanding.Millis) {
 	t := r.task
 	if t == nil || t.run != r || !t.stage.Lasting || t.job.state.Final() {
 		return
 	}
-	if t.downtime == nil {
+	if t.downtimeLog == nil {
 		c.beginDowntime(t, r.lastConfirmedAt(), now)
 	}
 	if r.mayHaveRun() {
@@ -97,9 +97,9 @@
 	return "NotStarted"
 }
 
-// recordLoaded begins the downtime of a lasting task that a new owner has loaded. For a task that was placed,
+// beginLoadedDowntime begins the downtime of a lasting task that a new owner has loaded. For a task that was placed,
 // nothing is logged until it is known what became of its run.
-func (c *Cell) recordLoaded(t *task, now cottonlanding.Millis) {
+func (c *Cell) beginLoadedDowntime(t *task, now cottonlanding.Millis) {
 	if !t.stage.Lasting || t.number == 0 || t.job.state.Final() || t.state != taskWaiting && t.state != taskAssigned {
 		return
 	}
@@ -109,31 +109,31 @@
 	}
 }
 
-// recordDelegatedDown begins the downtime of a task that this cell runs for its delegator.
-func (c *Cell) recordDelegatedDown(t *task, now cottonlanding.Millis) {
+// beginDelegatedDowntime begins the downtime of a task that this cell runs for its delegator.
+func (c *Cell) beginDelegatedDowntime(t *task, now cottonlanding.Millis) {
 	if t.stage.Lasting && t.number > 0 {
 		c.beginDowntime(t, 0, now)
 		c.queueDownLine(t, inCell("Keeper", *t.job.delegatedBy), "Delegated", "", now)
 	}
 }
 
-// recordReturned begins the downtime of a task that the cell to which it was delegated has returned. It counts from
+// beginReturnedDowntime begins the downtime of a task that the cell to which it was delegated has returned. It counts from
 // when the task waits.
-func (c *Cell) recordReturned(t *task, from cottonlanding.CellNumber, now cottonlanding.Millis) {
-	if t.downtime == nil {
+func (c *Cell) beginReturnedDowntime(t *task, from cottonlanding.CellNumber, now cottonlanding.Millis) {
+	if t.downtimeLog == nil {
 		c.beginDowntime(t, t.waitingSince, now)
 		c.queueDownLine(t, inCell("GuestCell", from), "Returned", "", now)
 	}
 }
 
 func (c *Cell) beginDowntime(t *task, ranAt, now cottonlanding.Millis) {
-	t.downtime = &downtime{task: t, number: t.number, ranAt: ranAt, since: now}
-	c.downtimes.open = append(c.downtimes.open, t.downtime)
+	t.downtimeLog = &downtimeLog{task: t, number: t.number, ranAt: ranAt, since: now}
+	c.downtimeLogs.open = append(c.downtimeLogs.open, t.downtimeLog)
 }
 
 // queueDownLine queues the log line on the beginning of a downtime, once per downtime.
 func (c *Cell) queueDownLine(t *task, at logLocation, cause, reason string, now cottonlanding.Millis) {
-	d := t.downtime
+	d := t.downtimeLog
 	if d.logged {
 		return
 	}
@@ -142,52 +142,52 @@
 	if reason != "" {
 		fields = append(fields, logField{"Reason", reason})
 	}
-	c.downtimes.downs = append(c.downtimes.downs, downLine{at, t, t.number, fields})
+	c.downtimeLogs.downs = append(c.downtimeLogs.downs, downLine{at, t, t.number, fields})
 }
 
-// recordRuns records that a run is known to be running.
-func (c *Cell) recordRuns(r *run, now cottonlanding.Millis) {
+// endDowntimeOf records that a run is known to be running.
+func (c *Cell) endDowntimeOf(r *run, now cottonlanding.Millis) {
 	t := r.task
-	if t == nil || t.downtime == nil || t.run != r {
+	if t == nil || t.downtimeLog == nil || t.run != r {
 		return
 	}
-	waited := max(0, r.placedAt-t.downtime.since)
+	waited := max(0, r.placedAt-t.downtimeLog.since)
 	c.endDowntime(t, downLine{at: onWorker(r.worker), task: t, number: r.Number}, waited, now-r.placedAt, now)
 }
 
-// recordRunsElsewhere records that a run of a delegated task is running in its delegate cell.
-func (c *Cell) recordRunsElsewhere(
+// endDowntimeElsewhere records that a run of a delegated task is running in its delegate cell.
+func (c *Cell) endDowntimeElsewhere(
 	t *task, number cottonlanding.RunNumber, cell cottonlanding.CellNumber, now cottonlanding.Millis,
 ) {
-	if t.downtime != nil {
+	if t.downtimeLog != nil {
 		c.endDowntime(t, downLine{at: inCell("GuestCell", cell), task: t, number: number},
 			unknownDuration, unknownDuration, now)
 	}
 }
 
 func (c *Cell) endDowntime(t *task, line downLine, waited, starting, now cottonlanding.Millis) {
-	d := t.downtime
-	t.downtime = nil
+	d := t.downtimeLog
+	t.downtimeLog = nil
 	if !d.logged {
 		return
 	}
 	line.fields = []logField{{"DownFor", elapsedSince(d.ranAt, now)}, {"KnownFor", now - d.since},
 		{"WaitedForPlace", waited}, {"PlacedToStarted", starting}, {"Placements", int(line.number - d.number)}}
-	c.downtimes.starts = append(c.downtimes.starts, line)
+	c.downtimeLogs.starts = append(c.downtimeLogs.starts, line)
 }
 
 // isOver reports whether nothing more is to be logged here about a downtime.
-func (d *downtime) isOver() bool {
+func (d *downtimeLog) isOver() bool {
 	t := d.task
-	return t.downtime != d || t.job.state.Final() || t.state == taskDone || t.state == taskNotHeld
+	return t.downtimeLog != d || t.job.state.Final() || t.state == taskDone || t.state == taskNotHeld
 }
 
 // logDowntimes logs which lasting tasks went down and which run again, a line for each location.
 func (c *Cell) logDowntimes() {
-	c.logDownLines("lasting task down", "lasting tasks down", c.downtimes.downs)
-	c.logDownLines("lasting task runs again", "lasting tasks run again", c.downtimes.starts)
-	c.downtimes.downs, c.downtimes.starts = nil, nil
-	c.downtimes.open = slices.DeleteFunc(c.downtimes.open, (*downtime).isOver)
+	c.logDownLines("lasting task down", "lasting tasks down", c.downtimeLogs.downs)
+	c.logDownLines("lasting task runs again", "lasting tasks run again", c.downtimeLogs.starts)
+	c.downtimeLogs.downs, c.downtimeLogs.starts = nil, nil
+	c.downtimeLogs.open = slices.DeleteFunc(c.downtimeLogs.open, (*downtimeLog).isOver)
 }
 
 // maxTasksPerLine bounds the tasks that one line lists.
--- a/internal/workflow/planner/downtimerule_test.go
+++ b/internal/workflow/planner/downtimerule_test.go
@@ -28,14 +28,14 @@
 // disturbances tells when disturbances as defined by the requirement ended: those in the span that counts or just
 // before it.
 type disturbances struct {
-	// last is the latest instant with a disturbance.
-	last cottonlanding.Millis
-	// unable is the latest instant at which no owner could have started anything.
-	unable cottonlanding.Millis
+	// lastDisturbanceAt is the latest instant with a disturbance.
+	lastDisturbanceAt cottonlanding.Millis
+	// ownerless is the latest instant at which no owner could have started anything.
+	ownerless cottonlanding.Millis
 }
 
 // calmSince returns since when no disturbance is near.
-func (d disturbances) calmSince() cottonlanding.Millis { return d.last + calmLead }
+func (d disturbances) calmSince() cottonlanding.Millis { return d.lastDisturbanceAt + calmLead }
 
 // lastingTask is a task that has to run until its workflow is cancelled.
 type lastingTask struct {
@@ -43,8 +43,8 @@
 	step cottonlanding.Step
 }
 
-// standing is the state that the requirement refers to: what the stand-in workers actually run at an instant.
-type standing struct {
+// systemState is the state that the requirement refers to: what the stand-in workers actually run at an instant.
+type systemState struct {
 	now cottonlanding.Millis
 	// usable holds the sound workers that may be given tasks, runs the runs of all workers.
 	usable []cottonlanding.WorkerInfo
@@ -52,12 +52,12 @@
 	// steps holds the step of each workflow; all steps of a workflow are alike.
 	steps map[cottonlanding.WorkflowID]cottonlanding.Step
 	// late holds the tasks for which a worker still has delayed orders to execute.
-	late map[cottonlanding.TaskRef]bool
-	near disturbances
+	late               map[cottonlanding.TaskRef]bool
+	recentDisturbances disturbances
 }
 
 // free returns the unreserved resources of a worker.
-func (s standing) free(info cottonlanding.WorkerInfo) cottonlanding.Resources {
+func (s systemState) free(info cottonlanding.WorkerInfo) cottonlanding.Resources {
 	free := info.Capacity
 	for _, key := range s.runs[info.ID] {
 		free = free.Minus(s.steps[key.Task.Workflow].Reserved())
@@ -66,7 +66,7 @@
 }
 
 // places counts the places for tasks of a step, up to requiredPlaces.
-func (s standing) places(id cottonlanding.WorkflowID) int {
+func (s systemState) places(id cottonlanding.WorkflowID) int {
 	step := s.steps[id]
 	places := 0
 	for _, info := range s.usable {
@@ -85,7 +85,7 @@
 }
 
 // usageIsLow reports whether less than half of the capacity is in use.
-func (s standing) usageIsLow() bool {
+func (s systemState) usageIsLow() bool {
 	var free, capacity cottonlanding.Resources
 	for _, info := range s.usable {
 		free, capacity = free.Plus(s.free(info)), capacity.Plus(info.Capacity)
@@ -105,12 +105,12 @@
 }
 
 // violatedCase returns the violated case of the requirement at an instant, or "".
-func (a taskDowntime) violatedCase(s standing) string {
+func (a taskDowntime) violatedCase(s systemState) string {
 	begins := max(a.ended+downGrace, a.roomSince)
 	switch {
-	case s.now-max(begins, s.near.calmSince()) >= maxDownSpan:
+	case s.now-max(begins, s.recentDisturbances.calmSince()) >= maxDownSpan:
 		return "calm"
-	case s.now-max(begins, a.lowUseSince, s.near.unable) >= maxDownSpan:
+	case s.now-max(begins, a.lowUseSince, s.recentDisturbances.ownerless) >= maxDownSpan:
 		return "little in use"
 	}
 	return ""
@@ -140,7 +140,7 @@
 }
 
 // check records the state of an instant and returns the violations that begin with it.
-func (r *downtimeRule) check(tasks []lastingTask, s standing) []violation {
+func (r *downtimeRule) check(tasks []lastingTask, s systemState) []violation {
 	runs := make(map[cottonlanding.TaskRef]bool)
 	for _, keys := range s.runs {
 		for _, key := range keys {
@@ -194,7 +194,7 @@
 	return a
 }
 
-func (r *downtimeRule) violations(s standing) []violation {
+func (r *downtimeRule) violations(s systemState) []violation {
 	var out []violation
 	for _, a := range r.down {
 		if by := a.violatedCase(s); by != "" && !a.reported {
--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -33,10 +33,10 @@
 	return []any{taskWaiting, taskAssigned, taskDone, taskNotHeld, delegatedState(cell)}
 }
 
-// GuestRowKeys returns the keys of the rows of a delegated workflow.
-func GuestRowKeys(p cottonlanding.Partition, id cottonlanding.WorkflowID) (spec, state cottonlanding.Key) {
-	guest := &job{Workflow: cottonlanding.Workflow{ID: id}, delegatedBy: new(cottonlanding.CellNumber)}
-	return (&Cell{setup: Setup{Partition: p}}).rowKeys(guest)
+// DelegatedRowKeys returns the keys of the rows of a delegated workflow.
+func DelegatedRowKeys(p cottonlanding.Partition, id cottonlanding.WorkflowID) (spec, state cottonlanding.Key) {
+	delegated := &job{Workflow: cottonlanding.Workflow{ID: id}, delegatedBy: new(cottonlanding.CellNumber)}
+	return (&Cell{setup: Setup{Partition: p}}).rowKeys(delegated)
 }
 
 // Fingerprint describes the cell's view of its workers and tasks without times: two cells with the same fingerprint
--- a/internal/workflow/planner/faults_test.go
+++ b/internal/workflow/planner/faults_test.go
@@ -12,9 +12,9 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestFaults lets orders, answers, workers and owners fail in random order and checks that no task runs twice and that
+// TestWorkflowsEndDespiteFaults lets orders, answers, workers and owners fail in random order and checks that no task runs twice and that
 // every accepted workflow becomes final.
-func TestFaults(t *testing.T) {
+func TestWorkflowsEndDespiteFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		submitted := 0
--- a/internal/workflow/planner/golden_test.go
+++ b/internal/workflow/planner/golden_test.go
@@ -35,7 +35,7 @@
 
 // TestGoldenNames guards against rows that aren't found any more, and against values that nobody else knows.
 func TestGoldenNames(t *testing.T) {
-	guestSpec, guestState := planner.GuestRowKeys("P", "w")
+	guestSpec, guestState := planner.DelegatedRowKeys("P", "w")
 	for name, lines := range map[string][]any{
 		"Keys": {planner.SpecKey("P", "w"), planner.StateKey("P", "w"), planner.ReferralKey("P", "w"), planner.DelegatedRowsKey("P"),
 			guestSpec, guestState, planner.LearntKey("P"), planner.LeaseBoundsKey("P")},
--- a/internal/workflow/planner/interference.go
+++ b/internal/workflow/planner/interference.go
@@ -43,9 +43,9 @@
 	overshootCorrection = 2.0
 	// minPaceFraction is the fraction of its full pace that a filling task must be able to keep for it to be placed.
 	minPaceFraction = 0.5
-	// assumedBaseFraction is the fraction of its target that an idle task's tail latency is assumed to have before a
+	// assumedMinTailFraction is the fraction of its target that an idle task's tail latency is assumed to have before a
 	// lower one was measured.
-	assumedBaseFraction = 0.25
+	assumedMinTailFraction = 0.25
 	// maxUtilization bounds the utilization derived from a long tail, which shows only that it is too high.
 	maxUtilization = 0.99
 )
@@ -55,47 +55,47 @@
 	policy cottonlanding.DisturbancePolicy
 	// weights holds the estimated weights for each serving image.
 	weights map[cottonlanding.Image]*weightEstimate
-	// remoteFindings holds what other cells have learnt.
-	remoteFindings findings
-	// base is the shortest tail latency measured for an image.
-	base map[cottonlanding.Image]cottonlanding.Millis
+	// remoteEvidence holds what other cells have learnt.
+	remoteEvidence evidenceByPair
+	// minTail is the shortest tail latency measured for an image.
+	minTail map[cottonlanding.Image]cottonlanding.Millis
 	// toleratedCounts holds, by the set of images that serve together, how many filling images hardly interfere with
 	// them, as of toleratedCountsAt.
 	toleratedCounts   map[string]int
 	toleratedCountsAt cottonlanding.Millis
 }
 
-func newPressure(policy cottonlanding.DisturbancePolicy) *interference {
+func newInterference(policy cottonlanding.DisturbancePolicy) *interference {
 	return &interference{
 		policy:  policy,
 		weights: make(map[cottonlanding.Image]*weightEstimate),
-		base:    make(map[cottonlanding.Image]cottonlanding.Millis),
+		minTail: make(map[cottonlanding.Image]cottonlanding.Millis),
 	}
 }
 
 // weight returns the weight with which a filling image raises the utilization of a serving one.
-func (p *interference) weight(filling, serving cottonlanding.Image) float64 {
-	return p.policy.Weight(p.pair(filling, serving))
+func (m *interference) weight(filling, serving cottonlanding.Image) float64 {
+	return m.policy.Weight(m.pair(filling, serving))
 }
 
 // pair returns what this and other cells have learnt of two images.
-func (p *interference) pair(filling, serving cottonlanding.Image) cottonlanding.PairView {
+func (m *interference) pair(filling, serving cottonlanding.Image) cottonlanding.PairView {
 	own := unknownPair
-	if known := p.weights[serving]; known != nil {
+	if known := m.weights[serving]; known != nil {
 		own = known.pair(filling)
 	}
-	return combine(own, p.remoteFindings[serving][filling])
+	return combine(own, m.remoteEvidence[serving][filling])
 }
 
 // predict returns by how much filling tasks raise the utilization of a serving image, and the variance of that.
-func (p *interference) predict(known *weightEstimate, serving cottonlanding.Image, used map[cottonlanding.Image]float64) (added, variance float64) {
+func (m *interference) predict(known *weightEstimate, serving cottonlanding.Image, used map[cottonlanding.Image]float64) (added, variance float64) {
 	added, variance = known.predict(used)
-	if len(p.remoteFindings[serving]) == 0 {
+	if len(m.remoteEvidence[serving]) == 0 {
 		return added, variance
 	}
 	added, variance = 0, 0
 	for filling, share := range used {
-		pair := p.pair(filling, serving)
+		pair := m.pair(filling, serving)
 		added += max(pair.Weight, 0) * share
 		variance += pair.StandardError * pair.StandardError * share * share
 	}
@@ -103,25 +103,25 @@
 }
 
 // utilization returns the utilization that a tail latency implies, between 0 and maxUtilization.
-func (p *interference) utilization(r *run, tail cottonlanding.Millis) float64 {
-	base := p.baseOf(r)
-	if tail <= base {
+func (m *interference) utilization(r *run, tail cottonlanding.Millis) float64 {
+	minTail := m.minTailOf(r)
+	if tail <= minTail {
 		return 0
 	}
-	return min(1-float64(base)/float64(tail), maxUtilization)
+	return min(1-float64(minTail)/float64(tail), maxUtilization)
 }
 
-func (p *interference) baseOf(r *run) cottonlanding.Millis {
-	base, known := p.base[r.step.Image]
+func (m *interference) minTailOf(r *run) cottonlanding.Millis {
+	minTail, known := m.minTail[r.step.Image]
 	if !known {
-		base = cottonlanding.Millis(assumedBaseFraction * float64(r.step.LatencyTarget))
+		minTail = cottonlanding.Millis(assumedMinTailFraction * float64(r.step.LatencyTarget))
 	}
-	return max(base, 1)
+	return max(minTail, 1)
 }
 
 // utilizationGoal returns the utilization at which a serving task is kept.
-func (p *interference) utilizationGoal(r *run) float64 {
-	return p.utilization(r, cottonlanding.Millis(latencyGoalFraction*float64(r.step.LatencyTarget)))
+func (m *interference) utilizationGoal(r *run) float64 {
+	return m.utilization(r, cottonlanding.Millis(latencyGoalFraction*float64(r.step.LatencyTarget)))
 }
 
 // learnInterference learns from the latest measurement of a worker.
@@ -151,16 +151,16 @@
 
 // learnTask learns the base load of a serving task's step, and the weights of the filling tasks beside it, from one
 // measurement.
-func (p *interference) learnTask(s *run, used map[cottonlanding.Image]float64, now cottonlanding.Millis) {
-	p.recordBase(s.step.Image, s.tailLatency)
-	known := p.weights[s.step.Image]
+func (m *interference) learnTask(s *run, used map[cottonlanding.Image]float64, now cottonlanding.Millis) {
+	m.recordMinTail(s.step.Image, s.tailLatency)
+	known := m.weights[s.step.Image]
 	if known == nil {
 		known = newWeightEstimate()
-		p.weights[s.step.Image] = known
+		m.weights[s.step.Image] = known
 	}
-	utilization := p.utilization(s, s.tailLatency)
+	utilization := m.utilization(s, s.tailLatency)
 	load := &s.task.stage.load
-	added, variance := p.predict(known, s.step.Image, used)
+	added, variance := m.predict(known, s.step.Image, used)
 	if utilization < maxComparableUtilization || load.known() && utilization > load.forecastAt(now)+added {
 		if load.hasRampedUp(now) && len(used) > 0 {
 			known.learn(used, utilization-load.forecastAt(now))
@@ -175,10 +175,10 @@
 // leaves, and, while it is over its goal, by less than they do now, whatever was learnt before. Light ones are
 // throttled only after the task has been over its target for overTargetTimeout: what they would lose at each peak
 // of the load is worth more.
-func (p *interference) budget(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) budget {
-	out := budget{heavy: p.utilizationGoal(s) - s.expected(now, paceLookahead), light: math.Inf(1)}
-	if over := p.utilization(s, s.tailLatency) - p.utilizationGoal(s); over > 0 {
-		out.heavy = min(out.heavy, p.added(s, filling, capacity)-overshootCorrection*over)
+func (m *interference) budget(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) budget {
+	out := budget{heavy: m.utilizationGoal(s) - s.expected(now, paceLookahead), light: math.Inf(1)}
+	if over := m.utilization(s, s.tailLatency) - m.utilizationGoal(s); over > 0 {
+		out.heavy = min(out.heavy, m.added(s, filling, capacity)-overshootCorrection*over)
 	}
 	if s.tailLatency < s.step.LatencyTarget {
 		s.overTargetSince = 0
@@ -195,20 +195,20 @@
 }
 
 // added returns by how much the filling tasks currently raise the utilization of a serving task.
-func (p *interference) added(s *run, filling []*run, capacity cottonlanding.Millicores) float64 {
+func (m *interference) added(s *run, filling []*run, capacity cottonlanding.Millicores) float64 {
 	sum := 0.0
 	for _, f := range filling {
-		sum += p.weight(f.step.Image, s.step.Image) * float64(f.used) / float64(capacity)
+		sum += m.weight(f.step.Image, s.step.Image) * float64(f.used) / float64(capacity)
 	}
 	return sum
 }
 
 // slack returns by how much the utilization of a serving task may still rise, given its base load and the paces of
 // the filling tasks.
-func (p *interference) slack(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) float64 {
-	slack := p.utilizationGoal(s) - s.expected(now, placementLookahead)
+func (m *interference) slack(s *run, filling []*run, capacity cottonlanding.Millicores, now cottonlanding.Millis) float64 {
+	slack := m.utilizationGoal(s) - s.expected(now, placementLookahead)
 	for _, f := range filling {
-		slack -= p.weight(f.step.Image, s.step.Image) * f.share(capacity) * float64(f.paceGoal) / fullPace
+		slack -= m.weight(f.step.Image, s.step.Image) * f.share(capacity) * float64(f.paceGoal) / fullPace
 	}
 	return slack
 }
@@ -241,7 +241,7 @@
 // sustainablePace returns the fraction of its full pace at which one more filling task could run on a worker without
 // pushing a serving task there over its goal.
 func (c *Cell) sustainablePace(w *worker, step cottonlanding.Step, now cottonlanding.Millis) float64 {
-	if !c.mayRunTrial(w, step, now) {
+	if !c.trialAllowed(w, step, now) {
 		return 0
 	}
 	share := float64(step.Resources.CPU) / float64(w.info.Capacity.CPU)
--- a/internal/workflow/planner/job.go
+++ b/internal/workflow/planner/job.go
@@ -101,8 +101,8 @@
 	run  *run
 	// waitingSince is when the task began to wait.
 	waitingSince cottonlanding.Millis
-	// downtime is set while a lasting task that was placed before isn't known to be running.
-	downtime *downtime
+	// downtimeLog is set while a lasting task that was placed before isn't known to be running.
+	downtimeLog *downtimeLog
 	// lastRunningAt is when a run of the task was last known to be running; zero if none was.
 	lastRunningAt cottonlanding.Millis
 	// abandonedStarts counts the workers from which the task was moved since lastRunningAt because they didn't confirm
--- a/internal/workflow/planner/jobstart.go
+++ b/internal/workflow/planner/jobstart.go
@@ -9,8 +9,8 @@
 // A task counts as begun once a worker has accepted it. The tasks of a gang wait on their workers until all members are
 // there, so that a gang counts as begun only then.
 
-// recordListed marks the job as started if the run that its worker has just listed shows that.
-func (c *Cell) recordListed(key cottonlanding.RunKey) {
+// markJobStarted marks the job as started if the run that its worker has just listed shows that.
+func (c *Cell) markJobStarted(key cottonlanding.RunKey) {
 	j := c.jobs[key.Task.Workflow]
 	if j == nil || j.started {
 		return
@@ -24,8 +24,8 @@
 	return !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.run == nil || t.run.listedAt == 0 })
 }
 
-// recordEndListed marks the job as started if the end of a run shows that, even if the run was given up before.
-func (c *Cell) recordEndListed(end cottonlanding.RunEnd) {
+// markJobStartedByEnd marks the job as started if the end of a run shows that, even if the run was given up before.
+func (c *Cell) markJobStartedByEnd(end cottonlanding.RunEnd) {
 	j := c.jobs[end.Task.Workflow]
 	if j == nil || j.started {
 		return
@@ -35,9 +35,9 @@
 	j.started = t == nil || !t.stage.Gang || worked
 }
 
-// recordStartAccepted marks the job as started after a worker has accepted a start, whatever its life and whatever has
+// markJobStartedByAnswer marks the job as started after a worker has accepted a start, whatever its life and whatever has
 // become of the run since.
-func (o Order) recordStartAccepted(err error) {
+func (o Order) markJobStartedByAnswer(err error) {
 	if o.Verb != VerbStart || err != nil || o.run == nil {
 		return
 	}
@@ -54,6 +54,6 @@
 }
 
 func (t *task) showsStart() bool {
-	outlived := t.run != nil && t.run.outlived
-	return t.state == taskDone || t.failures > 0 || t.checkpoint.text != "" || outlived
+	outlastedPromptWindow := t.run != nil && t.run.outlastedPromptWindow
+	return t.state == taskDone || t.failures > 0 || t.checkpoint.text != "" || outlastedPromptWindow
 }
--- a/internal/workflow/planner/learnt.go
+++ b/internal/workflow/planner/learnt.go
@@ -48,10 +48,10 @@
 }
 
 // row returns what was learnt, in a stable order.
-func (p *interference) row() learntRow {
+func (m *interference) row() learntRow {
 	var out learntRow
-	for image, known := range p.weights {
-		serving := servingRow{Image: image, Base: p.base[image]}
+	for image, known := range m.weights {
+		serving := servingRow{Image: image, Base: m.minTail[image]}
 		for filling, at := range known.index {
 			serving.Pairs = append(serving.Pairs, pairRow{filling, rounded(known.weights[at]), rounded(math.Sqrt(known.doubt[at][at]))})
 		}
@@ -66,7 +66,7 @@
 func rounded(value float64) float64 { return math.Round(value*100) / 100 }
 
 // restore loads what a predecessor has learnt.
-func (p *interference) restore(row learntRow) {
+func (m *interference) restore(row learntRow) {
 	for _, serving := range row.Serving {
 		known := newWeightEstimate()
 		for _, pair := range serving.Pairs {
@@ -75,9 +75,9 @@
 			doubt := max(pair.StandardError, minInheritedStandardError)
 			known.weights[at], known.doubt[at][at] = pair.Weight, doubt*doubt
 		}
-		p.weights[serving.Image] = known
+		m.weights[serving.Image] = known
 		if serving.Base > 0 {
-			p.base[serving.Image] = serving.Base
+			m.minTail[serving.Image] = serving.Base
 		}
 	}
 }
--- a/internal/workflow/planner/life.go
+++ b/internal/workflow/planner/life.go
@@ -100,8 +100,8 @@
 		c.recordOutage(previous, now) // it was back before a poll could fail: others may have crashed with it
 	}
 	w := c.addWorker(previous.info, now)
-	w.born, w.listed, w.predecessor = born, previous.listed, previous
-	w.recordPredecessorEnd(previous, now)
+	w.born, w.listed, w.previousLife = born, previous.listed, previous
+	w.recordPreviousLifeEnd(previous, now)
 	w.previous = append(slices.Clone(previous.previous), previous.born)
 	w.previous = w.previous[max(0, len(w.previous)-maxEarlierBirths):]
 	// Leases computed with the previous life's clock may have reached this one, which cuts them to the maximum.
@@ -123,7 +123,7 @@
 
 // isOnEarlierLife reports whether a run was placed on an earlier life of its worker, by this owner or a previous one.
 func (r *run) isOnEarlierLife() bool {
-	return r.worker.predecessor != nil && r.life == r.worker.predecessor || r.born.DiffersFrom(r.worker.born)
+	return r.worker.previousLife != nil && r.life == r.worker.previousLife || r.born.DiffersFrom(r.worker.born)
 }
 
 // listsRun reports whether a worker lists a run as running or ended.
@@ -149,7 +149,7 @@
 	r.phase, r.ackedAt, r.listedAt = sent, 0, 0
 	r.percent, r.tailLatency, r.used = 0, 0, 0
 	r.overTargetSince, r.sampledAt, r.resendPaceAt = 0, 0, 0
-	r.lossCounted, r.crashCounted, r.outlived = false, false, false
+	r.lossCounted, r.crashCounted, r.outlastedPromptWindow = false, false, false
 	r.pace = fullPace
 	if r.step.Fills {
 		r.pace = unknownPace // a late copy of a pace order may have reached it too
@@ -181,8 +181,8 @@
 			lost = append(lost, r)
 		}
 	}
-	before := cmp.Or(w.predecessor, w)
-	w.predecessor = nil
+	before := cmp.Or(w.previousLife, w)
+	w.previousLife = nil
 	for _, r := range unsent {
 		c.dropRun(r, now)
 	}
@@ -209,7 +209,7 @@
 // recordAnswerToEarlierLife handles the answer to an order that was given to an earlier life. Which life took the
 // order is unknown.
 func (c *Cell) recordAnswerToEarlierLife(r *run, order Order, err error, now cottonlanding.Millis) {
-	r.recordAnswered(order.Verb)
+	r.clearInFlight(order.Verb)
 	if order.Verb != VerbStart || r.phase == started {
 		return
 	}
--- a/internal/workflow/planner/life_test.go
+++ b/internal/workflow/planner/life_test.go
@@ -124,12 +124,12 @@
 // silent, its run must not be given up before that lease has expired, whether a poll showed the next life or only the
 // clock in the answer to the start.
 func TestNextLifeLeaseExpiresFirst(t *testing.T) {
-	for name, looks := range map[string]bool{"a look has shown it": true, "only a clock": false} {
-		t.Run(name, func(t *testing.T) { testNextLifeLease(t, looks) })
+	for name, polled := range map[string]bool{"a look has shown it": true, "only a clock": false} {
+		t.Run(name, func(t *testing.T) { testNextLifeLease(t, polled) })
 	}
 }
 
-func testNextLifeLease(t *testing.T, looks bool) {
+func testNextLifeLease(t *testing.T, polled bool) {
 	w := newWorldWithBirths(t)
 	longest := w.timing.Lease + 4*cottonlanding.Second
 	w.timing.MaxLease = longest
@@ -143,7 +143,7 @@
 	}
 	w.orders(func() string { return "" })
 	w.relist()
-	if looks {
+	if polled {
 		w.pollAll()
 	}
 	for _, info := range w.workers {
@@ -179,10 +179,10 @@
 	w.requireState("once", cottonlanding.WorkflowSucceeded)
 }
 
-// TestNextLifeAnswersOutOfOrder guards against a double start: the next life answers a poll before it takes a start,
+// TestOvertakingAnswerStopsRun guards against a double start: the next life answers a poll before it takes a start,
 // and the answer to the start, which carries no birth, arrives first. The owner then took the run for one of the
 // previous life, which the poll answer had ended, and didn't have it stopped.
-func TestNextLifeAnswersOutOfOrder(t *testing.T) {
+func TestOvertakingAnswerStopsRun(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
 	w.commit()
--- a/internal/workflow/planner/load.go
+++ b/internal/workflow/planner/load.go
@@ -110,7 +110,7 @@
 	}
 	t.setLife(row.Life)
 	t.loadCheckpoint(row, now)
-	c.recordLoaded(t, now)
+	c.beginLoadedDowntime(t, now)
 	t.crashes = cottonlanding.CrashRecord{Losses: row.Losses, Crashes: row.Crashes}
 	if row.OpenLife.Worker != "" {
 		t.setOpenLife(row.OpenLife)
@@ -131,7 +131,7 @@
 		}
 		key := cottonlanding.RunKey{Task: t.ref, Number: t.number}
 		t.run = &run{RunKey: key, task: t, worker: w, life: w, born: t.life.Born, step: t.stage.Step, phase: sent, startUnconfirmed: true,
-			pace: pace, paceGoal: fullPace, placedAt: now, progressedAt: now, lossCounted: row.Charged, outlived: row.Outlived}
+			pace: pace, paceGoal: fullPace, placedAt: now, progressedAt: now, lossCounted: row.Charged, outlastedPromptWindow: row.Outlived}
 		w.addRun(t.run)
 		if t.job.state.Final() {
 			c.stop(t.run, "the workflow ended", now)
--- a/internal/workflow/planner/logbatch.go
+++ b/internal/workflow/planner/logbatch.go
@@ -19,24 +19,24 @@
 }
 
 // recordPlaced adds a task that was placed on a worker.
-func (s *logBatch) recordPlaced(t *task, w *worker, now cottonlanding.Millis) {
-	s.placed = append(s.placed, fmt.Sprintf("%s#%d@%s", t.ref, t.number, w.info.ID))
-	s.lasting = t.stage.Lasting
-	s.waited = max(s.waited, now-t.waitingSince)
-	s.pollAge = max(s.pollAge, now-w.lastAnswerAt)
+func (b *logBatch) recordPlaced(t *task, w *worker, now cottonlanding.Millis) {
+	b.placed = append(b.placed, fmt.Sprintf("%s#%d@%s", t.ref, t.number, w.info.ID))
+	b.lasting = t.stage.Lasting
+	b.waited = max(b.waited, now-t.waitingSince)
+	b.pollAge = max(b.pollAge, now-w.lastAnswerAt)
 }
 
 // logPlaced logs the placed tasks, each as task#run@worker.
 func (c *Cell) logPlaced() {
-	s := &c.logBatch
-	if len(s.placed) > 0 {
+	b := &c.logBatch
+	if len(b.placed) > 0 {
 		log := c.logs.tasks
-		if s.lasting {
+		if b.lasting {
 			log = c.logs.lasting
 		}
-		log.Info("tasks placed", "Tasks", s.placed, "LongestWait", s.waited, "OldestLook", s.pollAge)
+		log.Info("tasks placed", "Tasks", b.placed, "LongestWait", b.waited, "OldestLook", b.pollAge)
 	}
-	s.placed, s.waited, s.pollAge = nil, 0, 0
+	b.placed, b.waited, b.pollAge = nil, 0, 0
 }
 
 // recordEnded adds a run that ended by itself. A run that was told to stop gets its own line, which shows how long
--- a/internal/workflow/planner/mix.go
+++ b/internal/workflow/planner/mix.go
@@ -28,36 +28,36 @@
 }
 
 // mixView returns how many filling images a worker's serving images tolerate before and after another one joins them.
-func (p *interference) mixView(slacks []imageSlack, joining cottonlanding.Image, now cottonlanding.Millis) cottonlanding.MixView {
+func (m *interference) mixView(slacks []imageSlack, joining cottonlanding.Image, now cottonlanding.Millis) cottonlanding.MixView {
 	images := make([]cottonlanding.Image, 0, len(slacks)+1)
 	for _, s := range slacks {
 		images = append(images, s.image)
 	}
-	view := cottonlanding.MixView{Tolerated: p.countTolerated(images, now)}
+	view := cottonlanding.MixView{Tolerated: m.countTolerated(images, now)}
 	if !slices.Contains(images, joining) {
 		images = append(images, joining)
 	}
-	view.ToleratedAfter = p.countTolerated(images, now)
+	view.ToleratedAfter = m.countTolerated(images, now)
 	return view
 }
 
 // countTolerated counts the filling images that hardly interfere with any of the serving ones.
-func (p *interference) countTolerated(serving []cottonlanding.Image, now cottonlanding.Millis) int {
-	if p.toleratedCounts == nil || now-p.toleratedCountsAt > maxToleratedCountsAge {
-		p.toleratedCounts, p.toleratedCountsAt = make(map[string]int), now
+func (m *interference) countTolerated(serving []cottonlanding.Image, now cottonlanding.Millis) int {
+	if m.toleratedCounts == nil || now-m.toleratedCountsAt > maxToleratedCountsAge {
+		m.toleratedCounts, m.toleratedCountsAt = make(map[string]int), now
 	}
 	sorted := slices.Sorted(slices.Values(serving))
 	key := imagesKey(sorted)
-	count, known := p.toleratedCounts[key]
+	count, known := m.toleratedCounts[key]
 	if known {
 		return count
 	}
-	for filling := range p.fillingImages() {
-		if !slices.ContainsFunc(sorted, func(s cottonlanding.Image) bool { return p.weight(filling, s) > cottonlanding.LightWeight }) {
+	for filling := range m.fillingImages() {
+		if !slices.ContainsFunc(sorted, func(s cottonlanding.Image) bool { return m.weight(filling, s) > cottonlanding.LightWeight }) {
 			count++
 		}
 	}
-	p.toleratedCounts[key] = count
+	m.toleratedCounts[key] = count
 	return count
 }
 
@@ -71,14 +71,14 @@
 }
 
 // fillingImages returns the filling images that were measured beside any serving one, here or in other cells.
-func (p *interference) fillingImages() map[cottonlanding.Image]bool {
+func (m *interference) fillingImages() map[cottonlanding.Image]bool {
 	out := make(map[cottonlanding.Image]bool)
-	for _, known := range p.weights {
+	for _, known := range m.weights {
 		for image := range known.index {
 			out[image] = true
 		}
 	}
-	for _, pairs := range p.remoteFindings {
+	for _, pairs := range m.remoteEvidence {
 		for image := range pairs {
 			out[image] = true
 		}
--- a/internal/workflow/planner/order.go
+++ b/internal/workflow/planner/order.go
@@ -67,8 +67,8 @@
 		w.ordersDue = false
 		for _, r := range w.runs.all() {
 			if order, due := c.orderFor(w, r, now); due {
-				r.recordGiven(order.Verb)
-				w.recordGiven(now)
+				r.recordIssued(order.Verb)
+				w.recordIssued(now)
 				out = append(out, order)
 			}
 			w.ordersDue = w.ordersDue || r.needsOrder()
@@ -79,8 +79,8 @@
 
 // HoldStarts suspends or resumes the issuing of starts, and reports whether that changed anything.
 func (c *Cell) HoldStarts(hold bool) bool {
-	changed := c.startsHeld != hold
-	c.startsHeld = hold
+	changed := c.startsSuspended != hold
+	c.startsSuspended = hold
 	return changed
 }
 
@@ -98,8 +98,8 @@
 	return r.pace != r.paceGoal
 }
 
-// recordGiven records that an order is in flight.
-func (r *run) recordGiven(verb Verb) {
+// recordIssued records that an order is in flight.
+func (r *run) recordIssued(verb Verb) {
 	if verb == VerbStop {
 		r.stopInFlight = true
 		r.stopTries++
@@ -108,8 +108,8 @@
 	r.orderInFlight = true
 }
 
-// recordAnswered records that an order is no longer in flight.
-func (r *run) recordAnswered(verb Verb) {
+// clearInFlight records that an order is no longer in flight.
+func (r *run) clearInFlight(verb Verb) {
 	if verb == VerbStop {
 		r.stopInFlight = false
 		return
@@ -141,7 +141,7 @@
 		return order, c.stopDue(w, r, now)
 	case r.orderInFlight || now < r.nextTry || w.reading == 0:
 		return Order{}, false
-	case r.phase < started && (c.startsHeld || c.bounds.has(w.info.ID) || w.cordoned() || !w.reachable(now) || !r.task.job.mayStart(now)):
+	case r.phase < started && (c.startsSuspended || c.bounds.has(w.info.ID) || w.cordoned() || !w.reachable(now) || !r.task.job.mayStart(now)):
 		// A lease that has expired by the clock of this life may be valid by the clock of the next one.
 		return Order{}, false
 	case r.phase == sent && w.lastAnswerAt <= r.sentAt && r.retriesSincePoll >= maxRetriesBeforePoll:
@@ -182,15 +182,15 @@
 // has carried out the order.
 func (c *Cell) OrderAnswered(order Order, reading cottonlanding.Reading, err error, now cottonlanding.Millis) {
 	c.retractLoss(order, err)
-	order.recordStartAccepted(err)
+	order.markJobStartedByAnswer(err)
 	w := c.workers[order.Worker.Life.Worker]
 	if w == nil {
 		return
 	}
 	same := order.worker == w
 	if same {
-		w.recordOrderOutcome(err, now)
-		c.recordAnswer(w, order, reading, err, now)
+		w.updateContact(err, now)
+		c.updateLifeFromAnswer(w, order, reading, err, now)
 	}
 	w.ordersDue = true
 	r := w.runs.get(order.Start.RunKey)
@@ -201,7 +201,7 @@
 		c.recordAnswerToEarlierLife(r, order, err, now)
 		return
 	}
-	r.recordAnswered(order.Verb)
+	r.clearInFlight(order.Verb)
 	if err != nil {
 		c.logs.tasks.Warn("order not taken", "Verb", order.Verb, "Task", r.Task.String(), "Run", r.Number, "Worker", w.info.ID, "Error", err)
 	}
@@ -225,9 +225,9 @@
 	}
 }
 
-// recordAnswer records what the answer to an order shows about the worker's life. Orders don't name a birth: one
+// updateLifeFromAnswer records what the answer to an order shows about the worker's life. Orders don't name a birth: one
 // without an answer may have reached another life.
-func (c *Cell) recordAnswer(w *worker, order Order, reading cottonlanding.Reading, err error, now cottonlanding.Millis) {
+func (c *Cell) updateLifeFromAnswer(w *worker, order Order, reading cottonlanding.Reading, err error, now cottonlanding.Millis) {
 	if errors.Is(err, cottonlanding.ErrAmbiguous) {
 		w.orderUnanswered = true
 	}
@@ -256,9 +256,9 @@
 	case err == nil:
 		if r.phase < started {
 			r.phase, r.ackedAt, r.progressedAt = started, now, now
-			r.recordRunning(now)
+			r.markTaskRunning(now)
 			c.counts.Starts++
-			c.recordRuns(r, now)
+			c.endDowntimeOf(r, now)
 		}
 	case errors.Is(err, ErrObsoleteStart):
 		if !r.startUnconfirmed {
--- a/internal/workflow/planner/place.go
+++ b/internal/workflow/planner/place.go
@@ -25,7 +25,7 @@
 // Decide advances the cell to now: it gives up runs that are guaranteed to have ended, starts the rounds whose time
 // has come, and places tasks. wall is the time of day in milliseconds since 1970.
 func (c *Cell) Decide(now cottonlanding.Millis, wall int64) {
-	c.lapse(now)
+	c.expireLeases(now)
 	c.updateSilentDataCentres(now)
 	c.dropUnsent(now)
 	c.stopOnLeavingWorkers(now)
@@ -98,7 +98,7 @@
 		if t.state != taskWaiting {
 			continue
 		}
-		w := c.pickUnlessRuledOut(t, failures, now)
+		w := c.pickUnlessCovered(t, failures, now)
 		if w == nil && !t.mustRunAgain(now) && (c.needsIsolation(t, now) || c.yieldsWithinStep(t)) {
 			continue // others may fit despite the isolation or the reservation
 		}
@@ -126,10 +126,10 @@
 	return tasks
 }
 
-// pickUnlessRuledOut returns the worker for a task. It skips the search if a task of the same kind that needs no
+// pickUnlessCovered returns the worker for a task. It skips the search if a task of the same kind that needs no
 // more found no worker in this pass.
-func (c *Cell) pickUnlessRuledOut(t *task, failures *placementFailures, now cottonlanding.Millis) *worker {
-	if !failures.ruleOut(t) {
+func (c *Cell) pickUnlessCovered(t *task, failures *placementFailures, now cottonlanding.Millis) *worker {
+	if !failures.covers(t) {
 		if w := c.pick(t, now); w != nil {
 			return w
 		}
--- a/internal/workflow/planner/placementfailure.go
+++ b/internal/workflow/planner/placementfailure.go
@@ -31,20 +31,20 @@
 }
 
 // add records a failure, unless the task's own MostPerWorker limit may have caused it.
-func (l *placementFailures) add(t *task) {
+func (f *placementFailures) add(t *task) {
 	if t.stage.MostPerWorker == 0 {
-		l.failures = append(l.failures, placementFailureOf(t))
+		f.failures = append(f.failures, placementFailureOf(t))
 	}
 }
 
-// ruleOut reports whether a task is guaranteed to find no worker. Lasting tasks are never ruled out, since a worker
+// covers reports whether a task is guaranteed to find no worker. Lasting tasks are never ruled out, since a worker
 // may be held for one of them alone.
-func (l *placementFailures) ruleOut(t *task) bool {
+func (f *placementFailures) covers(t *task) bool {
 	if t.stage.Lasting {
 		return false
 	}
 	wanted := placementFailureOf(t)
-	for _, m := range l.failures {
+	for _, m := range f.failures {
 		same := m.service == wanted.service && m.label == wanted.label && m.kind == wanted.kind && m.image == wanted.image
 		if same && m.need.Fits(wanted.need) {
 			return true
--- a/internal/workflow/planner/plan.go
+++ b/internal/workflow/planner/plan.go
@@ -124,8 +124,8 @@
 	states  []cottonlanding.WorkflowState
 	deleted []bool
 	runs    []*run
-	// remote holds the tasks whose delegate cells are named in the rows.
-	remote    []*task
+	// delegated holds the tasks whose delegate cells are named in the rows.
+	delegated []*task
 	callbacks []func(error)
 	// recordedEnds holds, for each worker, the last end whose consequences are committed with this plan.
 	recordedEnds map[*worker]uint64
@@ -224,7 +224,7 @@
 			plan.runs = append(plan.runs, t.run)
 		}
 		if _, found := t.delegateCell(); found {
-			plan.remote = append(plan.remote, t)
+			plan.delegated = append(plan.delegated, t)
 		}
 	})
 }
@@ -242,7 +242,7 @@
 		ResumeFrom: t.rowResumeFrom(),
 		OpenLife:   t.openLife,
 		Charged:    t.run != nil && t.run.lossCounted,
-		Outlived:   t.run != nil && t.run.outlived && !t.run.lossCounted,
+		Outlived:   t.run != nil && t.run.outlastedPromptWindow && !t.run.lossCounted,
 		startsRun:  t.startsRun(),
 	}
 }
@@ -315,7 +315,7 @@
 			r.worker.ordersDue = true
 		}
 	}
-	for _, t := range plan.remote {
+	for _, t := range plan.delegated {
 		c.delegationChanged = c.delegationChanged || !t.delegationCommitted || t.job.committedState.Final()
 		t.delegationCommitted = true
 	}
--- a/internal/workflow/planner/poll.go
+++ b/internal/workflow/planner/poll.go
@@ -122,7 +122,7 @@
 	w.markChanged()
 	w.recordReading(report.Reading, now)
 	c.recordEnds(w, report.Ended, now)
-	c.recordRunning(w, report, sentAt, now)
+	c.reconcileRuns(w, report, sentAt, now)
 	c.stopStuckRuns(w, now)
 	c.controlPace(w, now)
 }
@@ -158,8 +158,8 @@
 	}
 }
 
-// recordRunning compares the runs that the worker lists with those it should have.
-func (c *Cell) recordRunning(w *worker, report cottonlanding.RunReport, sentAt, now cottonlanding.Millis) {
+// reconcileRuns compares the runs that the worker lists with those it should have.
+func (c *Cell) reconcileRuns(w *worker, report cottonlanding.RunReport, sentAt, now cottonlanding.Millis) {
 	listed := make(map[cottonlanding.RunKey]bool, len(report.Running))
 	for _, update := range report.Running {
 		listed[update.RunKey] = true
@@ -168,9 +168,9 @@
 			r = c.trackUnownedRun(w, update.RunKey, now)
 		}
 		r.update(update, now)
-		c.recordListed(update.RunKey)
-		c.recordOutlived(r)
-		c.recordRuns(r, now)
+		c.markJobStarted(update.RunKey)
+		c.recordOutlasted(r)
+		c.endDowntimeOf(r, now)
 		c.clear(r, now)
 	}
 	if len(report.Ended) >= maxEndsPerPoll {
@@ -218,7 +218,7 @@
 		r.progressedAt = now
 	}
 	r.listedAt = now
-	r.recordRunning(now)
+	r.markTaskRunning(now)
 	r.percent = p.Percent
 	r.tailLatency, r.used = p.Tail, p.Used
 	r.recordCheckpoint(p.Checkpoint, checkpointListed, now)
--- a/internal/workflow/planner/preempt.go
+++ b/internal/workflow/planner/preempt.go
@@ -39,9 +39,9 @@
 		if !c.allowed(t, w, now) || w.health.shouldAvoid(now) || c.reservedForOthers(t, w, now) {
 			continue
 		}
-		victims, loss := c.victims(t, w, now)
-		if len(victims) > 0 && (best == nil || loss < lowest) {
-			best, lowest = victims, loss
+		victims, lostWork := c.victims(t, w, now)
+		if len(victims) > 0 && (best == nil || lostWork < lowest) {
+			best, lowest = victims, lostWork
 		}
 	}
 	if best == nil {
@@ -49,7 +49,7 @@
 	}
 	t.preemptionUntil = now + preemptionTimeout
 	for _, r := range best {
-		c.counts.Evicted++
+		c.counts.Preempted++
 		c.stop(r, "it gives way to "+t.ref.String(), now)
 	}
 }
--- a/internal/workflow/planner/rerunhistory_test.go
+++ b/internal/workflow/planner/rerunhistory_test.go
@@ -48,11 +48,11 @@
 	homes map[cottonlanding.WorkflowID]int
 	steps map[cottonlanding.WorkflowID]cottonlanding.Step
 	// unreachable holds the workers that run but can't be reached, gone those whose process has ended.
-	unreachable, gone map[cottonlanding.WorkerID]bool
-	plannedEvents     []plannedEvent
-	events            []string
-	near              disturbances
-	faultPhaseEnd     cottonlanding.Millis
+	unreachable, gone  map[cottonlanding.WorkerID]bool
+	plannedEvents      []plannedEvent
+	events             []string
+	recentDisturbances disturbances
+	faultPhaseEnd      cottonlanding.Millis
 	// share is the percentage of the room that lasting tasks take; other workflows are submitted in one of odds turns,
 	// never if odds is zero.
 	share, odds int
@@ -190,7 +190,7 @@
 		h.report(violation)
 	}
 	h.reportedViolations = len(violations)
-	for _, lost := range h.rule.check(h.openTasks(), h.standing()) {
+	for _, lost := range h.rule.check(h.openTasks(), h.systemState()) {
 		h.report(lost.String() + h.describe(lost.task))
 	}
 }
@@ -223,21 +223,21 @@
 
 // recordDisturbances records whether there is a fault now, and whether an owner is unable to act.
 func (h *rerunHistory) recordDisturbances() {
-	trouble, unable := len(h.unreachable) > 0, false
+	trouble, ownerless := len(h.unreachable) > 0, false
 	for _, p := range h.cells {
 		trouble = trouble || p.lastFaultAt == p.now || !p.canStart()
-		unable = unable || !p.canStart()
+		ownerless = ownerless || !p.canStart()
 	}
 	if trouble {
-		h.near.last = h.now()
+		h.recentDisturbances.lastDisturbanceAt = h.now()
 	}
-	if unable {
-		h.near.unable = h.now()
+	if ownerless {
+		h.recentDisturbances.ownerless = h.now()
 	}
 }
 
-func (h *rerunHistory) standing() standing {
-	out := standing{now: h.now(), runs: h.cells[0].runner.RunsByWorker(), steps: h.steps, late: make(map[cottonlanding.TaskRef]bool), near: h.near}
+func (h *rerunHistory) systemState() systemState {
+	out := systemState{now: h.now(), runs: h.cells[0].runner.RunsByWorker(), steps: h.steps, late: make(map[cottonlanding.TaskRef]bool), recentDisturbances: h.recentDisturbances}
 	for _, p := range h.cells {
 		p.addDelayedTasks(out.late)
 		for _, info := range p.workers {
--- a/internal/workflow/planner/reservation.go
+++ b/internal/workflow/planner/reservation.go
@@ -98,13 +98,13 @@
 
 // scarce reports whether the service is nearly full and has less left than headroomFactor times what is reserved
 // plus what the task needs.
-func (d reservations) scarce(t *task) bool {
-	if !d.nearlyFull(t) {
+func (r reservations) scarce(t *task) bool {
+	if !r.nearlyFull(t) {
 		return false
 	}
-	room := d.rooms[t.job.queue.Service]
+	room := r.rooms[t.job.queue.Service]
 	need := t.stage.Reserved()
-	for _, other := range d.tasks {
+	for _, other := range r.tasks {
 		if other.precedes(t) {
 			need = need.Plus(other.stage.Reserved())
 		}
@@ -113,16 +113,16 @@
 }
 
 // nearlyFull reports whether lasting tasks hold so much of the service's capacity that little is left.
-func (d reservations) nearlyFull(t *task) bool {
-	room := d.rooms[t.job.queue.Service]
+func (r reservations) nearlyFull(t *task) bool {
+	room := r.rooms[t.job.queue.Service]
 	return !room.capacity.Fits(room.left.Times(nearlyFullDivisor))
 }
 
 // deduct removes the resources of a lasting task that was placed from what is left.
-func (d reservations) deduct(t *task) {
-	room, known := d.rooms[t.job.queue.Service]
+func (r reservations) deduct(t *task) {
+	room, known := r.rooms[t.job.queue.Service]
 	if known && t.stage.Lasting && !t.stage.Fills {
 		room.left = room.left.Minus(t.stage.Reserved())
-		d.rooms[t.job.queue.Service] = room
+		r.rooms[t.job.queue.Service] = room
 	}
 }
--- a/internal/workflow/planner/reservation_test.go
+++ b/internal/workflow/planner/reservation_test.go
@@ -183,7 +183,7 @@
 	w.submit("later", "Urgent", lasting(1, 0, 6000))
 	w.play(cottonlanding.Second)
 	require.True(t, w.runsAll("slow", 1))
-	require.Zero(t, w.cell.Counts().Evicted, "the short task is preempted")
+	require.Zero(t, w.cell.Counts().Preempted, "the short task is preempted")
 }
 
 // TestNewTaskYieldsWithinItsStep guards against a task that takes the room of another task of its step. In a step
--- a/internal/workflow/planner/room.go
+++ b/internal/workflow/planner/room.go
@@ -21,8 +21,8 @@
 	free cottonlanding.Resources
 	// spare is the CPU that all runs are expected to leave unused.
 	spare cottonlanding.Millicores
-	// hasTrial says that a trial runs on the worker, calm that its serving tasks can tolerate one.
-	hasTrial, calm bool
+	// hasTrial says that a trial runs on the worker, hasTrialHeadroom that its serving tasks can tolerate one.
+	hasTrial, hasTrialHeadroom bool
 	// slacks holds for each serving image by how much the load of its tasks may grow.
 	slacks []imageSlack
 	// stopping is held by runs that are being stopped, preemptibleRooms by runs that could be stopped, by the
@@ -61,7 +61,7 @@
 		w.room.recordPreemptible(r)
 	}
 	serving, filling := w.servingAndFilling()
-	w.room.hasTrial, w.room.calm = c.includesTrial(serving, filling), c.calm(serving)
+	w.room.hasTrial, w.room.hasTrialHeadroom = c.includesTrial(serving, filling), c.hasTrialHeadroom(serving)
 	for _, s := range serving {
 		w.room.recordSlack(s.step.Image, c.interference.slack(s, filling, w.info.Capacity.CPU, now))
 	}
--- a/internal/workflow/planner/rowsize_test.go
+++ b/internal/workflow/planner/rowsize_test.go
@@ -267,9 +267,9 @@
 	other.requireAccepted(leavers[0])
 }
 
-// TestFirstRoundFinishesLast guards against finished rounds that leave the first one no room to run on a worker
+// TestFinishedRoundsLeaveRoom guards against finished rounds that leave the first one no room to run on a worker
 // with the longest id: they stay in the row while the first one goes on.
-func TestFirstRoundFinishesLast(t *testing.T) {
+func TestFinishedRoundsLeaveRoom(t *testing.T) {
 	const rounds = 10_600
 	p := newRowSimulation(t, "w1")
 	p.stopped = &cottonlanding.TaskRef{Workflow: "w"}
--- a/internal/workflow/planner/run.go
+++ b/internal/workflow/planner/run.go
@@ -28,7 +28,7 @@
 		w.uncommittedSince = now
 	}
 	w.receivedEnd = end.Serial
-	c.recordEndListed(end)
+	c.markJobStartedByEnd(end)
 	r := w.runs.get(end.RunKey)
 	if r == nil {
 		c.recordLateEnd(w, end, now)
@@ -42,7 +42,7 @@
 		return
 	}
 	r.recordCheckpoint(end.Checkpoint, checkpointEnded, now)
-	c.recordDown(r, string(end.Kind), now)
+	c.beginDowntimeAfterRun(r, string(end.Kind), now)
 	t.run = nil
 	if t.job.state.Final() {
 		return
@@ -149,7 +149,7 @@
 	if t == nil || t.run != r {
 		return
 	}
-	c.recordDown(r, r.endCause(), now)
+	c.beginDowntimeAfterRun(r, r.endCause(), now)
 	t.run = nil
 	if !t.job.state.Final() {
 		c.requeue(t, now)
@@ -212,7 +212,9 @@
 			unsent = append(unsent, r)
 		}
 	}
-	slices.SortStableFunc(unsent, func(a, b *run) int { return cmp.Compare(evictionRank(kindOf(a.step)), evictionRank(kindOf(b.step))) })
+	slices.SortStableFunc(unsent, func(a, b *run) int {
+		return cmp.Compare(revocationRank(kindOf(a.step)), revocationRank(kindOf(b.step)))
+	})
 	for _, r := range unsent {
 		if withinCapacity(free) {
 			return
@@ -231,18 +233,18 @@
 // withinCapacity reports whether the free room is not negative.
 func withinCapacity(free cottonlanding.Resources) bool { return cottonlanding.Resources{}.Fits(free) }
 
-// lapsed reports whether the runs of a worker must have ended, or can no longer begin. An idle worker has no lease
+// leaseExpired reports whether the runs of a worker must have ended, or can no longer begin. An idle worker has no lease
 // until its next start brings one: while it answers, runs that weren't sent yet are not lost.
-func (w *worker) lapsed(now cottonlanding.Millis) bool {
+func (w *worker) leaseExpired(now cottonlanding.Millis) bool {
 	if w.runs.size() == 0 || now <= w.leaseBound || w.listed && !w.polled {
 		return false
 	}
 	return !w.listed || !w.reachable(now) || slices.ContainsFunc(w.runs.all(), (*run).mayHaveBegun)
 }
 
-// lapsedBeforePoll reports whether the leases of a listed worker have expired before this owner has polled it to a
+// leaseExpiredBeforePoll reports whether the leases of a listed worker have expired before this owner has polled it to a
 // conclusion. Its lasting runs have ended whatever it would report; other runs may have succeeded before.
-func (w *worker) lapsedBeforePoll(now cottonlanding.Millis) bool {
+func (w *worker) leaseExpiredBeforePoll(now cottonlanding.Millis) bool {
 	return w.listed && !w.polled && now > w.leaseBound
 }
 
@@ -251,19 +253,19 @@
 	return slices.DeleteFunc(w.runs.snapshot(), func(r *run) bool { return !r.step.Lasting || r.task == nil })
 }
 
-// evictionRank returns the position of a kind of task in the order of eviction, lowest first.
-func evictionRank(k kind) int { return slices.Index([]kind{fillingTask, shortTask, lastingTask}, k) }
+// revocationRank returns the position of a kind of task in the order of eviction, lowest first.
+func revocationRank(k kind) int { return slices.Index([]kind{fillingTask, shortTask, lastingTask}, k) }
 
-// lapse ends the runs on workers whose lease has expired. A new owner first polls each of these workers: their runs may
+// expireLeases ends the runs on workers whose lease has expired. A new owner first polls each of these workers: their runs may
 // have succeeded long before that, and must not run again.
-func (c *Cell) lapse(now cottonlanding.Millis) {
+func (c *Cell) expireLeases(now cottonlanding.Millis) {
 	c.endReplacedWorkers(now)
 	for _, w := range c.sortedWorkers() {
 		switch {
-		case w.lapsed(now):
-			c.loseWorker(w, now, lossByLapse)
-		case w.lapsedBeforePoll(now):
-			c.loseRuns(w, w.lastingTaskRuns(), now, lossByLapse)
+		case w.leaseExpired(now):
+			c.loseWorker(w, now, lossByExpiry)
+		case w.leaseExpiredBeforePoll(now):
+			c.loseRuns(w, w.lastingTaskRuns(), now, lossByExpiry)
 		}
 		if !w.listed && w.runs.size() == 0 {
 			c.forgetWorker(w.info.ID)
--- a/internal/workflow/planner/runstart.go
+++ b/internal/workflow/planner/runstart.go
@@ -25,49 +25,49 @@
 	return max(0, r.listedAt-begunBy)
 }
 
-// recordOutlived records that a run has lasted longer than a task that crashes its worker would. It is written for the
+// recordOutlasted records that a run has lasted longer than a task that crashes its worker would. It is written for the
 // next owner once it holds for all runs of a lasting step, or for the run of a suspected task.
-func (c *Cell) recordOutlived(r *run) {
-	if r.outlived || r.observedFor() < promptWindow {
+func (c *Cell) recordOutlasted(r *run) {
+	if r.outlastedPromptWindow || r.observedFor() < promptWindow {
 		return
 	}
-	r.outlived = true
-	if t := r.task; t != nil && t.run == r && (t.suspected() || r.step.Lasting && t.stage.allOutlived()) {
+	r.outlastedPromptWindow = true
+	if t := r.task; t != nil && t.run == r && (t.hasLossHistory() || r.step.Lasting && t.stage.allOutlasted()) {
 		c.markDirty(t.job)
 	}
 }
 
-// allOutlived reports whether all runs of the step have lasted that long.
-func (s *stage) allOutlived() bool {
-	return !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.run != nil && !t.run.outlived })
+// allOutlasted reports whether all runs of the step have lasted that long.
+func (s *stage) allOutlasted() bool {
+	return !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.run != nil && !t.run.outlastedPromptWindow })
 }
 
-// suspected reports whether a loss, a crash or an open life is held against the task.
-func (t *task) suspected() bool {
+// hasLossHistory reports whether a loss, a crash or an open life is held against the task.
+func (t *task) hasLossHistory() bool {
 	return t.crashes != (cottonlanding.CrashRecord{}) || t.openLife.Worker != ""
 }
 
 // mayHaveBegun reports whether the worker may be running the run, whatever it has answered.
 func (r *run) mayHaveBegun() bool { return r.phase >= sent }
 
-// beganJustBefore reports whether the run began within promptWindow before the given time, which makes it a suspect for
+// beganInPromptWindow reports whether the run began within promptWindow before the given time, which makes it a suspect for
 // the end of its worker at that time.
-func (r *run) beganJustBefore(at cottonlanding.Millis) bool {
+func (r *run) beganInPromptWindow(at cottonlanding.Millis) bool {
 	begunBy, known := r.begunBy()
 	return known && r.mayHaveBegun() && begunBy <= at && at-begunBy <= promptWindow
 }
 
-// mayHaveBegunSoonBefore reports whether the run may have begun within recentWindow before the given time or later, so
+// mayHaveBegunSinceRecentWindow reports whether the run may have begun within recentWindow before the given time or later, so
 // that it may be related to the end of its worker. A start without an answer may have begun the run at any time.
-func (r *run) mayHaveBegunSoonBefore(at cottonlanding.Millis) bool {
+func (r *run) mayHaveBegunSinceRecentWindow(at cottonlanding.Millis) bool {
 	begunBy, known := r.begunBy()
 	return r.mayHaveBegun() && (!known || at-begunBy < recentWindow)
 }
 
-// mayHaveJustBegun reports whether the run may have begun just before the given time, or later. A run that no answer
+// mayHaveBegunSincePromptWindow reports whether the run may have begun just before the given time, or later. A run that no answer
 // has confirmed may have begun at any time: its start may have been delayed on the way, or an earlier owner may have
 // sent it.
-func (r *run) mayHaveJustBegun(at cottonlanding.Millis) bool {
+func (r *run) mayHaveBegunSincePromptWindow(at cottonlanding.Millis) bool {
 	if r.phase == sent {
 		return true
 	}
--- a/internal/workflow/planner/search_test.go
+++ b/internal/workflow/planner/search_test.go
@@ -85,11 +85,11 @@
 }
 
 // setSilent makes the second worker silent while its runs go on, or ends that.
-func (s *searchWorld) setSilent(dark bool) {
-	if dark {
+func (s *searchWorld) setSilent(silent bool) {
+	if silent {
 		s.silences++
 	}
-	s.runner.Dark(s.workers[1].ID, dark)
+	s.runner.Dark(s.workers[1].ID, silent)
 }
 
 func (s *searchWorld) searchRestart(number int) {
--- a/internal/workflow/planner/sharedlearnt.go
+++ b/internal/workflow/planner/sharedlearnt.go
@@ -11,26 +11,26 @@
 // Each cell learns for itself how images interfere, and stores that. What other cells have stored is combined with it
 // only where a weight is read: no cell passes on what another has learnt, so that each measurement counts once.
 
-// finding is what one cell has learnt of a pair beyond the initial assumption: its precision, which is the inverse of
+// pairEvidence is what one cell has learnt of a pair beyond the initial assumption: its precision, which is the inverse of
 // its variance, and its moment, the weight times the precision.
-type finding struct {
+type pairEvidence struct {
 	precision, moment float64
 }
 
 // initialPrecision is the precision of initialWeight.
 const initialPrecision = 1 / (initialStandardError * initialStandardError)
 
-// findingOf returns what is known of a pair beyond the initial assumption.
-func findingOf(pair cottonlanding.PairView) finding {
+// evidenceOf returns what is known of a pair beyond the initial assumption.
+func evidenceOf(pair cottonlanding.PairView) pairEvidence {
 	precision := 1/(pair.StandardError*pair.StandardError) - initialPrecision
 	if precision <= 0 {
-		return finding{}
+		return pairEvidence{}
 	}
-	return finding{precision, pair.Weight/(pair.StandardError*pair.StandardError) - initialWeight*initialPrecision}
+	return pairEvidence{precision, pair.Weight/(pair.StandardError*pair.StandardError) - initialWeight*initialPrecision}
 }
 
 // combine returns what is known of a pair together with the findings of other cells.
-func combine(own cottonlanding.PairView, others finding) cottonlanding.PairView {
+func combine(own cottonlanding.PairView, others pairEvidence) cottonlanding.PairView {
 	if others.precision == 0 {
 		return own
 	}
@@ -39,20 +39,20 @@
 	return cottonlanding.PairView{Weight: moment / precision, StandardError: 1 / math.Sqrt(precision)}
 }
 
-// findings holds what other cells have learnt, by serving and filling image.
-type findings map[cottonlanding.Image]map[cottonlanding.Image]finding
+// evidenceByPair holds what other cells have learnt, by serving and filling image.
+type evidenceByPair map[cottonlanding.Image]map[cottonlanding.Image]pairEvidence
 
 // add adds the findings in the row of one cell. Their standard errors have the lower bound that applies to rows of a
 // predecessor.
-func (f findings) add(row learntRow) {
+func (f evidenceByPair) add(row learntRow) {
 	for _, serving := range row.Serving {
 		if f[serving.Image] == nil {
-			f[serving.Image] = make(map[cottonlanding.Image]finding)
+			f[serving.Image] = make(map[cottonlanding.Image]pairEvidence)
 		}
 		for _, pair := range serving.Pairs {
-			one := findingOf(cottonlanding.PairView{Weight: pair.Weight, StandardError: max(pair.StandardError, minInheritedStandardError)})
+			one := evidenceOf(cottonlanding.PairView{Weight: pair.Weight, StandardError: max(pair.StandardError, minInheritedStandardError)})
 			sum := f[serving.Image][pair.Image]
-			f[serving.Image][pair.Image] = finding{sum.precision + one.precision, sum.moment + one.moment}
+			f[serving.Image][pair.Image] = pairEvidence{sum.precision + one.precision, sum.moment + one.moment}
 		}
 	}
 }
@@ -60,27 +60,27 @@
 // LoadLearntByOthers replaces what is known from other cells by the contents of their rows. It fails, and changes no
 // weight, if a row can't be decoded.
 func (c *Cell) LoadLearntByOthers(rows []cottonlanding.Row) error {
-	remoteFindings := make(findings)
+	remoteEvidence := make(evidenceByPair)
 	for _, row := range rows {
 		var learnt learntRow
 		if err := json.Unmarshal(row.Value, &learnt); err != nil {
 			return fmt.Errorf("row %s: %w", row.Key, err)
 		}
-		remoteFindings.add(learnt)
+		remoteEvidence.add(learnt)
 		for _, serving := range learnt.Serving {
-			c.interference.recordBase(serving.Image, serving.Base)
+			c.interference.recordMinTail(serving.Image, serving.Base)
 		}
 	}
-	c.interference.remoteFindings = remoteFindings
+	c.interference.remoteEvidence = remoteEvidence
 	return nil
 }
 
 // HasImages reports whether this cell has images for which the findings of other cells are of use.
 func (c *Cell) HasImages() bool { return c.hasImages }
 
-// recordBase records a tail latency if it is the shortest measured for an image.
-func (p *interference) recordBase(image cottonlanding.Image, tail cottonlanding.Millis) {
-	if base, known := p.base[image]; tail > 0 && (!known || tail < base) {
-		p.base[image] = tail
+// recordMinTail records a tail latency if it is the shortest measured for an image.
+func (m *interference) recordMinTail(image cottonlanding.Image, tail cottonlanding.Millis) {
+	if minTail, known := m.minTail[image]; tail > 0 && (!known || tail < minTail) {
+		m.minTail[image] = tail
 	}
 }
--- a/internal/workflow/planner/shrink_test.go
+++ b/internal/workflow/planner/shrink_test.go
@@ -37,10 +37,10 @@
 	return out
 }
 
-// TestShrinkingCapacity guards against starts that exceed the last listed capacity of their worker. It shrinks the
+// TestStartsFitShrunkenCapacity guards against starts that exceed the last listed capacity of their worker. It shrinks the
 // capacity and restores it repeatedly, while tasks are placed or committed, and over a change of the owner. All
 // tasks must be done in the end.
-func TestShrinkingCapacity(t *testing.T) {
+func TestStartsFitShrunkenCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSpreadWorld(t)
 		for range 4 {
--- a/internal/workflow/planner/stability.go
+++ b/internal/workflow/planner/stability.go
@@ -21,7 +21,7 @@
 	if w.unprovokedEnds > 0 && at-w.lastUnprovokedEndAt < stableAge<<min(w.unprovokedEnds, maxStableAgeDoublings) {
 		return true
 	}
-	return w.born != 0 && !w.predecessorAnswered && w.age(at) < stableAge
+	return w.born != 0 && !w.previousLifeAnswered && w.age(at) < stableAge
 }
 
 // isStable reports whether the worker has lasted long enough for its end to say something about its tasks.
@@ -29,14 +29,14 @@
 	return !w.isUnstable(now) && w.age(now) >= stableAge
 }
 
-// recordPredecessorEnd inherits the record of earlier ends from the predecessor and adds the predecessor's own end.
-func (w *worker) recordPredecessorEnd(predecessor *worker, now cottonlanding.Millis) {
-	w.unprovokedEnds, w.lastUnprovokedEndAt, w.predecessorAnswered = predecessor.unprovokedEnds, predecessor.lastUnprovokedEndAt, predecessor.lastAnswerAt > 0
-	at := predecessor.lostContactAt(now)
-	for _, r := range suspectsAmong(predecessor.runs.all(), at) {
-		w.predecessorSuspects = append(w.predecessorSuspects, r.task)
+// recordPreviousLifeEnd inherits the record of earlier ends from the predecessor and adds the predecessor's own end.
+func (w *worker) recordPreviousLifeEnd(previous *worker, now cottonlanding.Millis) {
+	w.unprovokedEnds, w.lastUnprovokedEndAt, w.previousLifeAnswered = previous.unprovokedEnds, previous.lastUnprovokedEndAt, previous.lastAnswerAt > 0
+	at := previous.lostContactAt(now)
+	for _, r := range suspectsAmong(previous.runs.all(), at) {
+		w.previousLifeSuspects = append(w.previousLifeSuspects, r.task)
 	}
-	if !predecessor.provoked(at) {
+	if !previous.provoked(at) {
 		w.unprovokedEnds++
 		w.lastUnprovokedEndAt = now
 	}
@@ -44,7 +44,7 @@
 
 // provoked reports whether a run had begun on the worker just before an instant.
 func (w *worker) provoked(at cottonlanding.Millis) bool {
-	return slices.ContainsFunc(w.runs.all(), func(r *run) bool { return r.beganJustBefore(at) })
+	return slices.ContainsFunc(w.runs.all(), func(r *run) bool { return r.beganInPromptWindow(at) })
 }
 
 // age returns the minimum age of the life at an instant. A worker that reports births restarts its clock with each
--- a/internal/workflow/planner/staleentry_test.go
+++ b/internal/workflow/planner/staleentry_test.go
@@ -9,10 +9,10 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestStaleListEntryIsHarmless guards against trusting list entries too much: an entry of an earlier life that is
+// TestStaleListEntryKeepsLife guards against trusting list entries too much: an entry of an earlier life that is
 // read late ends nothing, nor does one of a life that hasn't answered yet. A worker gets no new task until its entry
 // describes the life that answers, because another life may differ in service or resources.
-func TestStaleListEntryIsHarmless(t *testing.T) {
+func TestStaleListEntryKeepsLife(t *testing.T) {
 	w := newWorldWithBirths(t)
 	earlier := w.workers[0]
 	w.restartWorker(0)
@@ -63,10 +63,10 @@
 	require.Equal(t, starts, w.runner.Starts(), "entries must be applied as before")
 }
 
-// TestAnswersCrossingWithinMillisecond guards against taking a sound life for ended: a poll is sent in the same
+// TestCrossedAnswersKeepRuns guards against taking a sound life for ended: a poll is sent in the same
 // millisecond in which the answer to a start arrives, just before it, so that its own answer shows a clock 1 ms
 // behind. Without births, that looked like another life, and runs were given up and started again while they went on.
-func TestAnswersCrossingWithinMillisecond(t *testing.T) {
+func TestCrossedAnswersKeepRuns(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
 	w.submit("slow", "Urgent", quick(4))
@@ -89,9 +89,9 @@
 	require.Equal(t, 4, w.runner.Starts())
 }
 
-// TestPollAfterFailureIsPlain: the poll after a failed one carries neither acknowledged ends nor a lease, because
+// TestPollAfterFailureOmitsLeaseAndEnds: the poll after a failed one carries neither acknowledged ends nor a lease, because
 // another life may take it.
-func TestPollAfterFailureIsPlain(t *testing.T) {
+func TestPollAfterFailureOmitsLeaseAndEnds(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 3))
 	w.play(2 * cottonlanding.Second)
@@ -128,10 +128,10 @@
 	require.Equal(t, []uint64{1}, acknowledged)
 }
 
-// TestClockRegressionInStartAnswer guards against acknowledging the ends of the wrong life: a worker crashes and is
+// TestClockRegressionWithholdsAcknowledgement guards against acknowledging the ends of the wrong life: a worker crashes and is
 // back between two polls, and the next life answers a start. Its clock must show that before a poll acknowledges ends
 // by the numbers of the previous life. A clock that goes on must not.
-func TestClockRegressionInStartAnswer(t *testing.T) {
+func TestClockRegressionWithholdsAcknowledgement(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 1))
 	w.play(cottonlanding.Second)
--- a/internal/workflow/planner/successiveowners_test.go
+++ b/internal/workflow/planner/successiveowners_test.go
@@ -34,7 +34,7 @@
 }
 
 // turnWithHangingPolls plays a turn in which polls of one worker hang for lookTakes before they fail.
-func (w *world) turnWithHangingPolls(id cottonlanding.WorkerID, hangsSince *cottonlanding.Millis, lookTakes cottonlanding.Millis) {
+func (w *world) turnWithHangingPolls(id cottonlanding.WorkerID, hangsSince *cottonlanding.Millis, pollTimeout cottonlanding.Millis) {
 	w.decide(turnSpan)
 	for _, info := range w.workers {
 		if info.ID != id {
@@ -44,7 +44,7 @@
 		if *hangsSince == 0 {
 			*hangsSince = w.now
 		}
-		if w.now-*hangsSince >= lookTakes {
+		if w.now-*hangsSince >= pollTimeout {
 			w.poll(id, true)
 			*hangsSince = w.now
 		}
--- a/internal/workflow/planner/successor.go
+++ b/internal/workflow/planner/successor.go
@@ -25,8 +25,8 @@
 	}
 	answering := c.answeringByAddress()
 	for _, w := range gone {
-		if successor := answering[w.info.Address]; successor != nil && successor.lastAnswerPollSentAt > w.lastAnswerAt {
-			c.loseWorker(w, now, lossBySuccessor)
+		if replacement := answering[w.info.Address]; replacement != nil && replacement.lastAnswerPollSentAt > w.lastAnswerAt {
+			c.loseWorker(w, now, lossByReplacement)
 			c.forgetWorker(w.info.ID)
 		}
 	}
@@ -51,9 +51,9 @@
 // isReplaced reports whether another worker has answered at the address of one of which tasks have an open life.
 func (c *Cell) isReplaced(id cottonlanding.WorkerID, answering map[cottonlanding.Address]*worker) bool {
 	w := c.workers[id]
-	successor := answering[c.openLivesByWorker[id].address]
-	if successor == nil || successor.info.ID == id || w != nil && w.listed {
+	replacement := answering[c.openLivesByWorker[id].address]
+	if replacement == nil || replacement.info.ID == id || w != nil && w.listed {
 		return false
 	}
-	return w == nil || successor.lastAnswerPollSentAt > w.lastAnswerAt
+	return w == nil || replacement.lastAnswerPollSentAt > w.lastAnswerAt
 }
--- a/internal/workflow/planner/successor_test.go
+++ b/internal/workflow/planner/successor_test.go
@@ -44,9 +44,9 @@
 	return w
 }
 
-// TestStaleEntryOfEndedLife guards against taking a running worker for ended because the entry of the crashed one whose
+// TestStaleEntryKeepsReplacement guards against taking a running worker for ended because the entry of the crashed one whose
 // address it has stays listed for longer; its tasks would run twice.
-func TestStaleEntryOfEndedLife(t *testing.T) {
+func TestStaleEntryKeepsReplacement(t *testing.T) {
 	for _, ownerChanges := range []bool{false, true} {
 		w := playStaleEntry(t, ownerChanges)
 		w.playWithHangingPolls("w1", cottonlanding.Second)
@@ -55,10 +55,10 @@
 	}
 }
 
-// TestStaleEntryOfCrashedLife guards against taking a crashed worker for the successor of the one that started at its
+// TestUnpolledEntryKeepsReplacement guards against taking a crashed worker for the successor of the one that started at its
 // address later. The crashed one was never polled, and its entry is still listed when the other one's is removed; that
 // one's tasks would run twice.
-func TestStaleEntryOfCrashedLife(t *testing.T) {
+func TestUnpolledEntryKeepsReplacement(t *testing.T) {
 	w := newWorldWithBirths(t)
 	crashed := w.workers[0]
 	w.runner.Crash(crashed.ID)
@@ -88,9 +88,9 @@
 	require.Equal(t, 1, w.runner.Starts())
 }
 
-// TestLateAnswerOfEarlierLife guards against taking a worker for ended because an answer of the previous one at its
+// TestLateAnswerKeepsReplacement guards against taking a worker for ended because an answer of the previous one at its
 // address, made before that one ended, arrives after its own answers and after it was removed from the list.
-func TestLateAnswerOfEarlierLife(t *testing.T) {
+func TestLateAnswerKeepsReplacement(t *testing.T) {
 	w := newWorldWithBirths(t)
 	old := w.workers[0]
 	next, found := w.cell.NextPoll(old.ID, w.now)
--- a/internal/workflow/planner/trial.go
+++ b/internal/workflow/planner/trial.go
@@ -11,15 +11,15 @@
 const trialHeadroom = 0.1
 
 // untried reports whether too little is known of the pair.
-func (p *interference) untried(filling, serving cottonlanding.Image) bool {
-	return p.policy.Untried(p.pair(filling, serving))
+func (m *interference) untried(filling, serving cottonlanding.Image) bool {
+	return m.policy.Untried(m.pair(filling, serving))
 }
 
 // untriedAmong returns the images in use that are untried beside a serving one.
-func (p *interference) untriedAmong(used map[cottonlanding.Image]float64, serving cottonlanding.Image) []cottonlanding.Image {
+func (m *interference) untriedAmong(used map[cottonlanding.Image]float64, serving cottonlanding.Image) []cottonlanding.Image {
 	var out []cottonlanding.Image
 	for filling := range used {
-		if p.untried(filling, serving) {
+		if m.untried(filling, serving) {
 			out = append(out, filling)
 		}
 	}
@@ -52,8 +52,8 @@
 	return false
 }
 
-// calm reports whether all serving tasks are below their goals by trialHeadroom in their last measurements.
-func (c *Cell) calm(serving []*run) bool {
+// hasTrialHeadroom reports whether all serving tasks are below their goals by trialHeadroom in their last measurements.
+func (c *Cell) hasTrialHeadroom(serving []*run) bool {
 	for _, s := range serving {
 		if s.tailLatency > 0 && c.interference.utilization(s, s.tailLatency) > c.interference.utilizationGoal(s)-trialHeadroom {
 			return false
@@ -62,13 +62,13 @@
 	return true
 }
 
-// mayRunTrial reports whether placing a task of a step on a worker starts no trial, or one for which all serving
+// trialAllowed reports whether placing a task of a step on a worker starts no trial, or one for which all serving
 // tasks there have headroom and which is the only one.
-func (c *Cell) mayRunTrial(w *worker, step cottonlanding.Step, now cottonlanding.Millis) bool {
+func (c *Cell) trialAllowed(w *worker, step cottonlanding.Step, now cottonlanding.Millis) bool {
 	room := c.room(w, now)
 	for _, s := range room.slacks {
 		if c.interference.untried(step.Image, s.image) {
-			return room.calm && !room.hasTrial
+			return room.hasTrialHeadroom && !room.hasTrial
 		}
 	}
 	return true
--- a/internal/workflow/planner/waiting.go
+++ b/internal/workflow/planner/waiting.go
@@ -64,7 +64,7 @@
 
 // logWaiting logs why the tasks of a step have no worker. Interrupted tasks are logged individually by logBlocked.
 func (c *Cell) logWaiting(t *task, now cottonlanding.Millis) {
-	if t.downtime == nil && t.takeWaitLogTurn(now) {
+	if t.downtimeLog == nil && t.takeWaitLogTurn(now) {
 		c.logRejections(c.logs.tasks, t, now)
 	}
 }
@@ -91,8 +91,8 @@
 // lastWaitLog returns when the reason for the wait was last logged: for an interrupted task its own, else that of
 // its step.
 func (t *task) lastWaitLog() *cottonlanding.Millis {
-	if t.downtime != nil {
-		return &t.downtime.loggedAt
+	if t.downtimeLog != nil {
+		return &t.downtimeLog.loggedAt
 	}
 	return &t.stage.loggedAt
 }
--- a/internal/workflow/planner/worker.go
+++ b/internal/workflow/planner/worker.go
@@ -63,9 +63,9 @@
 	// startedByOtherLife says that another life than the intended one took the start, so that sentAt doesn't bound
 	// when the run began.
 	startedByOtherLife bool
-	// outlived says that the worker listed the run for longer than a task that crashes the worker on start would
+	// outlastedPromptWindow says that the worker listed the run for longer than a task that crashes the worker on start would
 	// last.
-	outlived bool
+	outlastedPromptWindow bool
 	// lossCounted says that the loss of the run was counted against its task, crashCounted that it was counted as a
 	// crash.
 	lossCounted  bool
@@ -131,9 +131,9 @@
 	evacuated bool
 	// born is the birth of the life as in its poll answers, previous the births of earlier lives, predecessor the
 	// previous life while its runs are unsettled.
-	born        cottonlanding.Birth
-	previous    []cottonlanding.Birth
-	predecessor *worker
+	born         cottonlanding.Birth
+	previous     []cottonlanding.Birth
+	previousLife *worker
 	// lifeUnconfirmed says that something since the last poll answer indicates that the worker may be in another
 	// life, orderUnanswered that an order got no answer, so that another life may have taken it.
 	lifeUnconfirmed bool
@@ -144,10 +144,10 @@
 	// last was seen at lastUnprovokedEndAt.
 	unprovokedEnds      int
 	lastUnprovokedEndAt cottonlanding.Millis
-	// predecessorAnswered says that this owner had poll answers of the previous life, predecessorSuspects holds the
+	// previousLifeAnswered says that this owner had poll answers of the previous life, predecessorSuspects holds the
 	// tasks whose runs stood out when it ended.
-	predecessorAnswered bool
-	predecessorSuspects []*task
+	previousLifeAnswered bool
+	previousLifeSuspects []*task
 	// answeredUnlisted says that the worker answered a poll after its list entry was removed: it is leaving.
 	answeredUnlisted bool
 	runs             runSet
@@ -274,10 +274,10 @@
 
 // The reasons of losses, which are logged.
 const (
-	lossBySuccessor loss = "another life has its address"
-	lossByAnswer    loss = "another worker answered"
-	lossByBirth     loss = "its worker is in another life"
-	lossByLapse     loss = "its lease surely ran out"
+	lossByReplacement loss = "another life has its address"
+	lossByAnswer      loss = "another worker answered"
+	lossByBirth       loss = "its worker is in another life"
+	lossByExpiry      loss = "its lease surely ran out"
 )
 
 // loseWorker ends all runs of a life that is certain to have ended, or of a worker whose leases are certain to have
@@ -292,7 +292,7 @@
 	faultyTasks := c.attributeCrash(w, runs, why, now)
 	for _, r := range runs {
 		c.counts.Lost++
-		c.recordDown(r, string(why), now)
+		c.beginDowntimeAfterRun(r, string(why), now)
 		if why == lossByBirth {
 			c.loseEarlierRun(r, now)
 			continue
