--- a/internal/workflow/planner/adoptedrun_test.go
+++ b/internal/workflow/planner/adoptedrun_test.go
@@ -12,8 +12,8 @@
 // when it last progressed and its pace. The first copy of a start is late, the second one begins at once, and the
 // next life takes the first one.
 
-// restartDuringRun plays a task that has begun on the first worker, which falls silent after a span and is back with it two
-// seconds later.
+// restartDuringRun lets a task begin on the first worker, which restarts two seconds after a span. Its next life takes
+// the late first start of the task.
 func restartDuringRun(w *world, span cottonlanding.Millis) {
 	w.settleStops()
 	w.commit()
--- a/internal/workflow/planner/blame.go
+++ b/internal/workflow/planner/blame.go
@@ -27,8 +27,9 @@
 )
 
 // suspectsAmong returns those of the runs lost with a life that stand out as the cause of its end at an instant: all
-// that began within promptWindow before it, or else the only one that began within recentWindow. Several runs of the
-// latter kind are no suspects, because one of them would be charged with each unrelated crash.
+// that began within promptWindow before it, or else the only one. Several runs that began earlier are no suspects,
+// because one of them would be blamed for each unrelated crash. No window is checked for an only run: attributeCrash
+// passes just the runs that count (countableLosses).
 func suspectsAmong(lost []*run, at cottonlanding.Millis) []*run {
 	prompt := make([]*run, 0, len(lost))
 	for _, r := range lost {
@@ -42,8 +43,8 @@
 	return prompt
 }
 
-// countableLosses returns the runs of a worker whose loss counts for their tasks: those that began within
-// recentWindow before its life ended, or, if that end was expected, those that may have begun just before it.
+// countableLosses returns the runs of a worker whose loss counts for their tasks: those that may have begun within
+// recentWindow before its life ended or later, or, if that end was expected, within promptWindow before it or later.
 func countableLosses(w *worker, runs []*run, at cottonlanding.Millis) []*run {
 	var lost []*run
 	for _, r := range runs {
@@ -92,7 +93,7 @@
 	return faultyTasks
 }
 
-// lossOf describes the loss of one run of a worker, given the end of the worker.
+// lossOf returns the facts about the loss of one run of a worker. end holds those that apply to all its runs.
 func lossOf(end cottonlanding.RunLoss, w *worker, r *run, standsOut bool) cottonlanding.RunLoss {
 	loss := end
 	loss.LifeEnded = end.LifeEnded || r.isUntraceable()
@@ -184,7 +185,8 @@
 	}
 }
 
-// clear resets the losses of a task whose run has lasted for recentWindow.
+// clear resets the losses of a task if the given run is its current one and its start was confirmed at least
+// recentWindow ago.
 func (c *Cell) clear(r *run, now cottonlanding.Millis) {
 	t := r.task
 	if t == nil || t.run != r || !t.hasLossHistory() {
--- a/internal/workflow/planner/blamepartitions_test.go
+++ b/internal/workflow/planner/blamepartitions_test.go
@@ -9,8 +9,8 @@
 )
 
 // These tests guard against failing a workflow, and stopping its lasting tasks for good, although none of its tasks has
-// failed as often as its queue allows. That happened in two ways: an expired lease counted as a crash of the worker,
-// and the crash of a worker that ends on its own counted as one caused by the task. No task here harms its worker.
+// failed as often as its queue allows. An expired lease must not count as a crash of the worker, nor the crash of a
+// worker that ends on its own as one caused by the task. No task here harms its worker.
 
 const (
 	// partitionSpan is longer than a lease, so that the owner gives the runs up.
--- a/internal/workflow/planner/blamerestarts_test.go
+++ b/internal/workflow/planner/blamerestarts_test.go
@@ -10,10 +10,10 @@
 )
 
 // These tests guard against starting a task that crashes its workers once too often when its losses coincide with
-// changes of owner. That happened in two ways, both because knowledge of one life was applied to another. Either the
-// worker was back under its id before the next owner had heard of the ended life, and that owner read the entry of
-// the new life, which was already leaving, so that the end of the previous life looked expected. Or the owner gave
-// the run up when its lease expired, and took the loss back when the worker answered again, though in another life.
+// changes of owner, because knowledge of one life is applied to another. Either the worker is back under its id before
+// the next owner hears of the ended life, and that owner reads the entry of the new life, which is already leaving, so
+// that the end of the previous life looks expected. Or the owner gives the run up when its lease expires, and retracts
+// the loss when the worker answers again, though in another life.
 
 // crashesPlayed is more crashes than a task may have before it is given up.
 const crashesPlayed = 8
@@ -108,9 +108,9 @@
 	w.requireGivenUp()
 }
 
-// TestOneOfManyRunsIsInnocent guards against giving up an innocent workflow after two unrelated crashes. At the
-// first, some thirty tasks had begun on the worker within ten seconds and none just before, and all of them were
-// suspects; at the second, one of them, isolated for that reason, had begun 43 ms before.
+// TestOneOfManyRunsIsInnocent guards against giving up an innocent workflow after two unrelated crashes. At the first,
+// many tasks have begun on the worker within recentWindow and none within promptWindow, so that none is a suspect; at
+// the second, one of them has begun within promptWindow.
 func TestOneOfManyRunsIsInnocent(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 6))
--- a/internal/workflow/planner/blockedlog_test.go
+++ b/internal/workflow/planner/blockedlog_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestIsolatedTaskLogsIsolation guards against a lasting task that waits long without a log line because isolation
-// rules out all workers.
+// rejects all workers.
 func TestIsolatedTaskLogsIsolation(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
--- a/internal/workflow/planner/cell.go
+++ b/internal/workflow/planner/cell.go
@@ -76,10 +76,11 @@
 	callbacks map[cottonlanding.WorkflowID][]func(error)
 	inFlight  *Plan
 	// referrals are the workflows of this home cell that other cells run. unplannedReferrals are those of them that are
-	// in no plan yet, with the callbacks that wait for their commit.
+	// in no plan yet, with the callbacks that wait for their commit. A non-nil entry, even an empty one, means that the
+	// referral must be written.
 	referrals          map[cottonlanding.WorkflowID]*referral
 	unplannedReferrals map[cottonlanding.WorkflowID][]func(error)
-	// remote holds the workflows that have tasks which other cells may run.
+	// remote holds the workflows of which tasks are delegated to other cells.
 	remote map[cottonlanding.WorkflowID]*job
 	// interruptedCursor and delegableCursor are where the next call of DelegableTasks resumes.
 	interruptedCursor, delegableCursor taskCursor
@@ -138,7 +139,7 @@
 	FailedByCrashes int64
 	// Stuck counts runs that were stopped because they made no progress.
 	Stuck int64
-	// Preempted counts runs that were preempted by more urgent ones.
+	// Preempted counts runs that were stopped to make room for more urgent ones.
 	Preempted int64
 	// Referred counts workflows that were referred to another cell.
 	Referred int64
--- a/internal/workflow/planner/crash_test.go
+++ b/internal/workflow/planner/crash_test.go
@@ -22,7 +22,7 @@
 // crashWorld plays workers that crash: their list entries stay for a while, and new lives appear at their addresses.
 type crashWorld struct {
 	*world
-	// crashedAt holds when each crash was seen, restarted the crashed lives that have a successor.
+	// crashedAt holds when each crash was seen, restarted the crashed lives at whose address another has started.
 	crashedAt map[cottonlanding.WorkerID]cottonlanding.Millis
 	restarted map[cottonlanding.WorkerID]bool
 }
@@ -74,9 +74,9 @@
 }
 
 // TestFaultyTaskIsGivenUp guards against unbounded starts of a task that crashes each worker that starts it. The
-// worker crashes within 10 ms and loses its list of ends; three seconds later another life answers at its address,
-// the run is given up, and the task waits as if it had never run. Since only listed failures counted as attempts,
-// such tasks were started 37 and 55 times by one owner, and half of the workers were down at any time.
+// worker crashes within 10 ms and loses its list of ends, so that no failure is listed; three seconds later another
+// life answers at its address and the run is given up. Each such loss must count as an attempt, or the task keeps
+// crashing workers without end.
 func TestFaultyTaskIsGivenUp(t *testing.T) {
 	short := cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 2000, Memory: cottonlanding.Gigabyte}, Estimate: 500}
 	lasting, filling, gang, optional, saved := short, short, short, short, short
@@ -103,9 +103,8 @@
 	}
 }
 
-// TestEndedLifeIsPolledOnce guards against polling ended lives again and again: the answer of another life made the
-// owner forget the life, and its list entry, which stays for seconds, made it known again. 8 crashed lives were
-// polled 300 times in two seconds.
+// TestEndedLifeIsPolledOnce guards against polling ended lives again and again: the answer of another life has the
+// owner forget the life, and its list entry, which stays for seconds, must not make it known again.
 func TestEndedLifeIsPolledOnce(t *testing.T) {
 	c := newCrashWorld(newWorld(t), firstTask("culprit"))
 	c.play(cottonlanding.Second)
--- a/internal/workflow/planner/datacentresilence.go
+++ b/internal/workflow/planner/datacentresilence.go
@@ -23,7 +23,7 @@
 
 // dataCentreSilence summarizes the answers of one data centre.
 type dataCentreSilence struct {
-	// unanswered counts the workers with an unanswered order; since is when the first of them was given it.
+	// unanswered counts the workers with an unanswered order; since is when the first of these orders was issued.
 	unanswered int
 	since      cottonlanding.Millis
 	// lastContactAt is when any of its workers last answered.
@@ -36,14 +36,14 @@
 	return s.unanswered >= minSilentWorkers && now-s.since >= maxAnswerDelay && now-s.lastContactAt >= maxAnswerDelay
 }
 
-// recordIssued records that an order was given out to the worker.
+// recordIssued records that an order was issued to the worker.
 func (w *worker) recordIssued(now cottonlanding.Millis) {
 	if w.unansweredSince == 0 {
 		w.unansweredSince = now
 	}
 }
 
-// recordContact records that the worker answered a poll or an order.
+// recordContact records when the worker answered a poll or an order; Cell.recordContact is about outages.
 func (w *worker) recordContact(now cottonlanding.Millis) {
 	w.lastContactAt, w.unansweredSince = now, 0
 }
@@ -51,8 +51,8 @@
 // answerErrors are the errors that come from the worker itself, so that they show that it is reachable.
 var answerErrors = []error{cottonlanding.ErrConflict, cottonlanding.ErrBusy, cottonlanding.ErrOtherLife, cottonlanding.ErrStaleEpoch}
 
-// updateContact records whether an order was answered, got no answer, or wasn't sent. The last says nothing
-// about the worker.
+// updateContact updates the time of the last contact from the outcome of an order: it was answered, got no answer, or
+// wasn't sent, which says nothing about the worker.
 func (w *worker) updateContact(err error, now cottonlanding.Millis) {
 	isErr := func(answer error) bool { return errors.Is(err, answer) }
 	switch {
--- a/internal/workflow/planner/delegated.go
+++ b/internal/workflow/planner/delegated.go
@@ -9,7 +9,8 @@
 
 // A delegated workflow is one of which this cell runs single tasks for the cell that owns it, the delegator
 // (delegation.go). Its rows have the format of the cell's own workflows under a prefix of their own: they name the
-// delegator, and mark the tasks that this cell doesn't hold.
+// delegator, and mark the tasks that this cell doesn't hold. Rows, messages and log lines call a delegated workflow
+// guest, its delegator keeper.
 
 const (
 	// taskNotHeld is the state of a task of a delegated workflow that this cell doesn't hold. Its number is that with
@@ -62,7 +63,8 @@
 	return !j.isDelegatedHere() || j.confirmedAt > 0 && now-j.confirmedAt < confirmationTTL
 }
 
-// remote reports whether another cell may run the task.
+// remote reports whether another cell holds the task: it is delegated, or it belongs to a delegated workflow of which
+// this cell doesn't hold it.
 func (t *task) remote() bool {
 	_, found := t.delegateCell()
 	return found || t.state == taskNotHeld
--- a/internal/workflow/planner/delegation.go
+++ b/internal/workflow/planner/delegation.go
@@ -124,15 +124,17 @@
 	return cottonlanding.CellNumber(number), err == nil
 }
 
-// setHolderState sets the state of a task without a run when this cell begins or ceases to hold it.
+// setHolderState sets the state of a task without a run when this cell begins or ceases to hold it: taskWaiting if it
+// holds the task, taskNotHeld or the result of delegatedState if another cell does.
 func (t *task) setHolderState(state taskState) {
 	t.job.size.remote += len(state) - len(t.state)
 	t.state = state
 }
 
 // DelegableTasks returns up to most lasting tasks that wait without room in this cell, those that ran before first.
-// Repeated calls go through all of them in turn. Workflows of which nothing was placed are left out in their home
-// cell, where they can be handed over whole.
+// Repeated calls go through all of them in turn. home reports whether this cell is the one that a workflow's id names
+// (referral.go). Workflows of which nothing was placed are left out in their home cell, where they can be handed over
+// whole.
 func (c *Cell) DelegableTasks(most int, home func(cottonlanding.WorkflowID) bool, now cottonlanding.Millis) []DelegableTask {
 	var interrupted, others []*task
 	for _, j := range c.openJobs {
@@ -253,7 +255,7 @@
 	return out
 }
 
-// pruneRemote removes the job from the remote ones if none of its tasks is delegated.
+// pruneRemote removes the job from Cell.remote if none of its tasks is delegated.
 func (c *Cell) pruneRemote(j *job) {
 	remote := false
 	j.eachTask(func(t *task) {
--- a/internal/workflow/planner/delegation_test.go
+++ b/internal/workflow/planner/delegation_test.go
@@ -269,7 +269,7 @@
 }
 
 // TestReturnIsReportedAfterCommit guards against an owner that reports the return of a task and is lost before it has
-// committed it, so that its successor runs the task as well.
+// committed it, so that the next owner runs the task as well.
 func TestReturnIsReportedAfterCommit(t *testing.T) {
 	n, request := newDelegatedTasks(t)
 	n.cells[1].submit("lfull", "Bulk", lastingCores(16))
--- a/internal/workflow/planner/down.go
+++ b/internal/workflow/planner/down.go
@@ -30,7 +30,7 @@
 	maxAbandonedPerDecision = 10
 )
 
-// markTaskRunning records that the run was seen running.
+// markTaskRunning records for the task that its run was seen running.
 func (r *run) markTaskRunning(now cottonlanding.Millis) {
 	if t := r.task; t != nil && t.run == r {
 		t.lastRunningAt, t.abandonedStarts = now, 0
--- a/internal/workflow/planner/downrow.go
+++ b/internal/workflow/planner/downrow.go
@@ -21,7 +21,7 @@
 // downInstants maps tasks to the instants at which they went down, by the table's clock.
 type downInstants map[string]cottonlanding.TableInstant
 
-// downRecord is the part of the row of lease bounds on tasks that are down.
+// downRecord is the part of the row of lease bounds on tasks that are down, as of task.downSince.
 type downRecord struct {
 	// stored is in the row, planned is in the plan in flight, required was computed at computedAt.
 	stored, planned, required downInstants
--- a/internal/workflow/planner/downtime.go
+++ b/internal/workflow/planner/downtime.go
@@ -7,7 +7,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// downtimeLog is a period in which a lasting task that was placed before is not known to run.
+// downtimeLog is what is logged about a period in which a lasting task that was placed before is not known to run.
+// Decisions use task.downSince instead.
 type downtimeLog struct {
 	task *task
 	// number is that of the run at whose end the downtime began.
@@ -23,7 +24,7 @@
 	loggedPlaced bool
 }
 
-// downtimeLogs holds the open downtimeLogs of a cell, and the beginnings and ends that are still to be logged.
+// downtimeLogs holds the open downtimes of a cell, and the beginnings and ends that are still to be logged.
 type downtimeLogs struct {
 	open   []*downtimeLog
 	downs  []downLine
@@ -71,8 +72,8 @@
 // mayHaveRun reports whether the run may have begun on its worker.
 func (r *run) mayHaveRun() bool { return r.lastConfirmedAt() > 0 || r.startUnconfirmed }
 
-// beginDowntimeAfterRun records that the run of a lasting task does not go on. It is called before the run is detached from
-// its task.
+// beginDowntimeAfterRun begins the downtime of a lasting task whose run does not go on, unless it has begun. It is
+// called before the run is detached from its task.
 func (c *Cell) beginDowntimeAfterRun(r *run, cause string, now cottonlanding.Millis) {
 	t := r.task
 	if t == nil || t.run != r || !t.stage.Lasting || t.job.state.Final() {
@@ -117,8 +118,8 @@
 	}
 }
 
-// beginReturnedDowntime begins the downtime of a task that the cell to which it was delegated has returned. It counts from
-// when the task waits.
+// beginReturnedDowntime begins the downtime of a task that the cell to which it was delegated has returned. It counts
+// from when the task waits.
 func (c *Cell) beginReturnedDowntime(t *task, from cottonlanding.CellNumber, now cottonlanding.Millis) {
 	if t.downtimeLog == nil {
 		c.beginDowntime(t, t.waitingSince, now)
@@ -145,7 +146,7 @@
 	c.downtimeLogs.downs = append(c.downtimeLogs.downs, downLine{at, t, t.number, fields})
 }
 
-// endDowntimeOf records that a run is known to be running.
+// endDowntimeOf ends the downtime of the task of a run that is known to be running.
 func (c *Cell) endDowntimeOf(r *run, now cottonlanding.Millis) {
 	t := r.task
 	if t == nil || t.downtimeLog == nil || t.run != r {
@@ -155,7 +156,7 @@
 	c.endDowntime(t, downLine{at: onWorker(r.worker), task: t, number: r.Number}, waited, now-r.placedAt, now)
 }
 
-// endDowntimeElsewhere records that a run of a delegated task is running in its delegate cell.
+// endDowntimeElsewhere ends the downtime of a delegated task of which a run is running in its delegate cell.
 func (c *Cell) endDowntimeElsewhere(
 	t *task, number cottonlanding.RunNumber, cell cottonlanding.CellNumber, now cottonlanding.Millis,
 ) {
--- a/internal/workflow/planner/downtimerule_test.go
+++ b/internal/workflow/planner/downtimerule_test.go
@@ -25,7 +25,7 @@
 	lowUseDivisor = 2
 )
 
-// disturbances tells when disturbances as defined by the requirement ended: those in the span that counts or just
+// disturbances holds when disturbances as defined by the requirement ended: those in the span that counts or just
 // before it.
 type disturbances struct {
 	// lastDisturbanceAt is the latest instant with a disturbance.
@@ -34,7 +34,7 @@
 	ownerless cottonlanding.Millis
 }
 
-// calmSince returns since when no disturbance is near.
+// calmSince returns the instant from which the system counts as undisturbed: calmLead after the last disturbance.
 func (d disturbances) calmSince() cottonlanding.Millis { return d.lastDisturbanceAt + calmLead }
 
 // lastingTask is a task that has to run until its workflow is cancelled.
@@ -43,7 +43,7 @@
 	step cottonlanding.Step
 }
 
-// systemState is the state that the requirement refers to: what the stand-in workers actually run at an instant.
+// systemState is the state that the requirement refers to: what the stand-in workers run at an instant.
 type systemState struct {
 	now cottonlanding.Millis
 	// usable holds the sound workers that may be given tasks, runs the runs of all workers.
--- a/internal/workflow/planner/evacuate.go
+++ b/internal/workflow/planner/evacuate.go
@@ -60,7 +60,7 @@
 	w.markChanged()
 	for _, r := range w.runs.all() {
 		if !evacuated && !r.stopping {
-			r.unwanted.Store(false)
+			r.unwanted.Store(false) // its start may be sent again if it was withheld
 		}
 	}
 	return true
--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -101,7 +101,7 @@
 // OpenLives counts the workers whose open lives the cell still has to resolve.
 func (c *Cell) OpenLives() int { return len(c.openLivesByWorker) }
 
-// DescribeTask describes the state of a task, and what rules each worker out for it.
+// DescribeTask describes the state of a task, and why each worker is rejected for it.
 func (c *Cell) DescribeTask(ref cottonlanding.TaskRef, now cottonlanding.Millis) string {
 	j := c.jobs[ref.Workflow]
 	if j == nil {
@@ -126,7 +126,7 @@
 	return out.String()
 }
 
-// describeRejection returns the first reason that rules a worker out for a task.
+// describeRejection returns the first reason for which a worker is rejected for a task.
 func (c *Cell) describeRejection(t *task, w *worker, now cottonlanding.Millis) string {
 	room := c.room(w, now)
 	switch {
--- a/internal/workflow/planner/faults_test.go
+++ b/internal/workflow/planner/faults_test.go
@@ -12,8 +12,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestWorkflowsEndDespiteFaults lets orders, answers, workers and owners fail in random order and checks that no task runs twice and that
-// every accepted workflow becomes final.
+// TestWorkflowsEndDespiteFaults lets orders, answers, workers and owners fail in random order and checks that no task
+// runs twice and that every accepted workflow becomes final.
 func TestWorkflowsEndDespiteFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
--- a/internal/workflow/planner/forecast.go
+++ b/internal/workflow/planner/forecast.go
@@ -32,8 +32,10 @@
 	return latestForecast.objective - (now - j.accepted) - latestForecast.chainLeft
 }
 
-// late reports whether a workflow can no longer meet its objective. One with lasting tasks counts as late once its
-// latency target has passed: it can wait, while short ones of the same priority are worth most if they end soon.
+// late reports whether a workflow can no longer meet its objective. Late workflows with lasting tasks are ranked after
+// the others of their priority (rankAll): they can wait, while short workflows are worth most if they end soon. Lasting
+// tasks without an estimate add nothing to the chain, so that the objective of a workflow with only such tasks is its
+// latency target.
 func (j *job) late(now cottonlanding.Millis) bool {
 	return j.queue.Stretch > 0 && j.Schedule.Rounds == 0 && j.slack(now) < 0
 }
--- a/internal/workflow/planner/gang.go
+++ b/internal/workflow/planner/gang.go
@@ -49,6 +49,7 @@
 		if w == nil {
 			return false
 		}
+		// A placeholder run without a number reserves the room, so that the next member finds what is left.
 		key := cottonlanding.RunKey{Task: t.ref}
 		w.addRun(&run{RunKey: key, worker: w, step: s.Step, paceGoal: fullPace})
 		chosen = append(chosen, w)
@@ -58,7 +59,7 @@
 		return false
 	}
 	for i, t := range s.tasks {
-		chosen[i].removeRun(cottonlanding.RunKey{Task: t.ref})
+		chosen[i].removeRun(cottonlanding.RunKey{Task: t.ref}) // the placeholder, which assign replaces
 		c.assign(t, chosen[i], number, now)
 	}
 	c.logPlaced()
--- a/internal/workflow/planner/heldroom_test.go
+++ b/internal/workflow/planner/heldroom_test.go
@@ -15,7 +15,7 @@
 	// heldWithin is how soon a worker is held for a lasting task that waits.
 	heldWithin = 6 * cottonlanding.Second
 	// startWithin is how soon a lasting task must run where there is room for two of it: six seconds after its last
-	// run and three of calm.
+	// run and three undisturbed ones.
 	startWithin = 9 * cottonlanding.Second
 	// turnSpan is the duration of a turn.
 	turnSpan = 50 * cottonlanding.Millis(1)
--- a/internal/workflow/planner/interference.go
+++ b/internal/workflow/planner/interference.go
@@ -6,10 +6,10 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Serving tasks answer requests of their own users; their tail latency grows with their utilization as that of a
-// queue does: tail = base / (1 - utilization). Filling tasks on the same worker raise the utilization in proportion to
-// the processors that they use, by a weight that depends on both images. The weight is learnt for each pair of
-// images from the measurements of all workers.
+// Serving tasks answer requests of their own users; their tail latency grows with their utilization as that of a queue
+// does: tail = minTail / (1 - utilization). Filling tasks on the same worker raise the utilization in proportion to the
+// processors that they use, by a weight that depends on both images. The weight is learnt for each pair of images from
+// the measurements of all workers.
 
 const (
 	// initialWeight is the weight assumed for a pair without measurements.
@@ -24,7 +24,8 @@
 	placementLookahead = 2500 * cottonlanding.Millis(1)
 	// modelError is the relative error of the interference that the model predicts.
 	modelError = 0.3
-	// minUsage is the fraction of a worker below which filling tasks count as idle.
+	// minUsage is the fraction of a worker below which filling tasks count as idle. It is also added to divisors that
+	// may be zero.
 	minUsage = 0.005
 	// maxComparableUtilization is the utilization up to which a measurement is used: above, the tail latency says
 	// little.
@@ -43,8 +44,8 @@
 	overshootCorrection = 2.0
 	// minPaceFraction is the fraction of its full pace that a filling task must be able to keep for it to be placed.
 	minPaceFraction = 0.5
-	// assumedMinTailFraction is the fraction of its target that an idle task's tail latency is assumed to have before a
-	// lower one was measured.
+	// assumedMinTailFraction is the fraction of its latency target that an idle task's tail latency is assumed to be
+	// until one was measured.
 	assumedMinTailFraction = 0.25
 	// maxUtilization bounds the utilization derived from a long tail, which shows only that it is too high.
 	maxUtilization = 0.99
--- a/internal/workflow/planner/interference_test.go
+++ b/internal/workflow/planner/interference_test.go
@@ -317,7 +317,7 @@
 	}
 }
 
-// learnt returns the weight of a pair and its standard error as last stored for a successor.
+// learnt returns the weight of a pair and its standard error as last stored for the next owner.
 func (s *sharedWorker) learnt(serving, filling cottonlanding.Image) (weight, doubt float64) {
 	var row struct {
 		Serving []struct {
@@ -355,8 +355,8 @@
 	return out
 }
 
-// TestNewOwnerSetsPaces guards against a new owner that takes a filling task which its predecessor had paused for one
-// that is stuck, or leaves it paused.
+// TestNewOwnerSetsPaces guards against a new owner that takes a filling task which the previous owner had paused for
+// one that is stuck, or leaves it paused.
 func TestNewOwnerSetsPaces(t *testing.T) {
 	s := newSharedWorker(t, map[cottonlanding.Image]float64{"light": 0.1})
 	s.submit("serve", "Serve", cottonlanding.Step{Tasks: 1, Resources: cottonlanding.Resources{CPU: 6000}, Lasting: true, Image: "serve", LatencyTarget: target})
--- a/internal/workflow/planner/isolation.go
+++ b/internal/workflow/planner/isolation.go
@@ -6,8 +6,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// A suspected task starts on a worker where nothing else begins just before or after it, so that a further crash
-// shows whether it was the cause.
+// A task that the blame policy isolates because of its losses starts on a worker where nothing else begins just before
+// or after it, so that a further crash shows whether it was the cause.
 
 const (
 	// isolationWindow is how long nothing else begins on a worker before and after an isolated start: some 300 ms for
@@ -21,7 +21,7 @@
 	isolationTimeout = cottonlanding.Second
 	// fewLossesIsolationTimeout is how long a task with few losses left waits for a worker on which nothing has just
 	// begun, at an instant at which no worker has just fallen silent. An innocent task must not lose its last chances
-	// to a faulty one, so that nothing ever begins just after it.
+	// to a faulty one, so that nothing else begins there for longIsolationWindow after it.
 	fewLossesIsolationTimeout = 3 * cottonlanding.Second
 	// lastStartIsolationTimeout is fewLossesIsolationTimeout for the last start before a task is given up.
 	lastStartIsolationTimeout = 15 * cottonlanding.Second
@@ -73,7 +73,8 @@
 		return true
 	case !c.needsIsolation(t, now):
 		return false
-	case now-t.waitingSince >= t.maxIsolationWait(): // where tasks begin all the time, it would wait for ever
+	case now-t.waitingSince >= t.maxIsolationWait():
+		// Where tasks begin all the time it would wait for ever: it starts there unless too many workers are isolated.
 	case w.lastAssignedAt > 0 && now-w.lastAssignedAt < isolationWindow, t.hasFewLossesLeft() && c.hasRecentOutage(now):
 		return true
 	}
--- a/internal/workflow/planner/jobstart.go
+++ b/internal/workflow/planner/jobstart.go
@@ -9,7 +9,8 @@
 // A task counts as begun once a worker has accepted it. The tasks of a gang wait on their workers until all members are
 // there, so that a gang counts as begun only then.
 
-// markJobStarted marks the job as started if the run that its worker has just listed shows that.
+// markJobStarted marks the job as started if the run that a worker has just listed shows that. A run of a gang does
+// once the runs of all members are listed.
 func (c *Cell) markJobStarted(key cottonlanding.RunKey) {
 	j := c.jobs[key.Task.Workflow]
 	if j == nil || j.started {
@@ -35,8 +36,8 @@
 	j.started = t == nil || !t.stage.Gang || worked
 }
 
-// markJobStartedByAnswer marks the job as started after a worker has accepted a start, whatever its life and whatever has
-// become of the run since.
+// markJobStartedByAnswer marks the job as started after a worker has accepted a start, whatever its life and whatever
+// has become of the run since.
 func (o Order) markJobStartedByAnswer(err error) {
 	if o.Verb != VerbStart || err != nil || o.run == nil {
 		return
--- a/internal/workflow/planner/lastingwaits_test.go
+++ b/internal/workflow/planner/lastingwaits_test.go
@@ -15,7 +15,7 @@
 // lossesBeforeFailure is how many losses a task has that is given up at the next one.
 const lossesBeforeFailure = 4
 
-// shortRun is how long the runs of suspects go on here before the next event: too short to have outlived a crash.
+// shortRun is how long the runs of suspects go on here before the next event: shorter than promptWindow.
 const shortRun = 150 * cottonlanding.Millis(1)
 
 // turnsPerSilence is after how many turns another worker falls silent, so that there is always one that just has.
@@ -157,7 +157,7 @@
 }
 
 // TestLostTaskHoldsWorkerInTime guards against a wait for a held worker that counts from the end of a silent
-// worker's lease: its task was down for over 11 s among short tasks that left room for two of it.
+// worker's lease: its task is then down for too long among short tasks that leave room for two of it.
 func TestLostTaskHoldsWorkerInTime(t *testing.T) {
 	w := newSpreadWorld(t)
 	for range 5 {
--- a/internal/workflow/planner/learnt.go
+++ b/internal/workflow/planner/learnt.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// saveLearntInterval is how often what was learnt is stored. A pair takes some three seconds to learn, so a
-	// successor lacks little.
+	// saveLearntInterval is how often what was learnt is stored. A pair takes some three seconds to learn, so
+	// the next owner lacks little.
 	saveLearntInterval = 3 * cottonlanding.Second
 	// maxLearntBytes bounds the row, in bytes, well below the 64 KiB that the table takes.
 	maxLearntBytes = 32 << 10
-	// minInheritedStandardError is the smallest standard error of a weight from a predecessor: the covariances
+	// minInheritedStandardError is the smallest standard error of a weight from a previous owner: the covariances
 	// between weights aren't stored.
 	minInheritedStandardError = 0.15
 )
 
-// learntRow is the stored form of what an owner has learnt of how images interfere, for its successor and for other
+// learntRow is the stored form of what an owner has learnt of how images interfere, for the next owner and for other
 // cells.
 type learntRow struct {
 	Serving []servingRow
@@ -65,7 +65,7 @@
 // rounded rounds to two decimals, which is finer than any standard error.
 func rounded(value float64) float64 { return math.Round(value*100) / 100 }
 
-// restore loads what a predecessor has learnt.
+// restore loads what a previous owner has learnt.
 func (m *interference) restore(row learntRow) {
 	for _, serving := range row.Serving {
 		known := newWeightEstimate()
@@ -82,7 +82,7 @@
 	}
 }
 
-// LoadLearnt loads the row of a predecessor; without it everything is learnt again. It fails if the row can't be
+// LoadLearnt loads the row of a previous owner; without it everything is learnt again. It fails if the row can't be
 // decoded, and the row is then overwritten.
 func (c *Cell) LoadLearnt(row cottonlanding.Row) error {
 	c.learntVersion = row.Version // also of an unreadable row
--- a/internal/workflow/planner/leasebounds.go
+++ b/internal/workflow/planner/leasebounds.go
@@ -10,12 +10,12 @@
 )
 
 // An owner grants nothing more to a worker that falls silent, so it knows when the worker's leases end. The next
-// owner only knows that its predecessor may have renewed them until its own end, and would wait for a whole lease
+// owner only knows that the previous one may have renewed them until its own end, and would wait for a whole lease
 // from then: each change of owner would restart the wait of the tasks that were lost with the worker. So an owner
 // writes the lease bounds of silent workers, by the table's clock.
 //
 // The leases of an owner end at most MaxLeasePastOwnership after the instant until which it is guaranteed to own
-// the cell, so that its successor need not assume a whole lease from the last renewal of an owner that was cut off.
+// the cell, so that the next owner need not assume a whole lease from the last renewal of an owner that was cut off.
 //
 // While a bound is stored, the worker is granted no lease: an owner that hears from the worker first removes the
 // bound. Owners of older code do not know the row and grant leases regardless, so a row is used only if all owners
@@ -160,6 +160,8 @@
 	if written.Older == 0 || c.setup.BeforeOwnedUntil == 0 {
 		return
 	}
+	// The cap limits the end of a lease, which includes its span, so that only the drift over the span and the margin
+	// are added.
 	writerBound := c.setup.BeforeOwnedUntil + c.timing.MaxLeasePastOwnership +
 		c.timing.maxLeaseSpan()/driftDivisor + leaseMargin
 	c.bounds.older = max(writerBound, c.bounds.clock.Until(written.Older))
--- a/internal/workflow/planner/leasebounds_test.go
+++ b/internal/workflow/planner/leasebounds_test.go
@@ -182,8 +182,8 @@
 	require.LessOrEqual(t, downAfterLoss(t, 0, 0, 1), otherCellRestartTimeout)
 }
 
-// TestCutOffOwnerRespectsLeaseTail guards against an owner that is cut off and renews leases for longer than its
-// successor assumes, which cannot reach the workers.
+// TestCutOffOwnerRespectsLeaseTail guards against an owner that is cut off and renews leases for longer than the
+// next owner assumes, which cannot reach the workers.
 func TestCutOffOwnerRespectsLeaseTail(t *testing.T) {
 	w := newOwnedWorld(t)
 	w.play(cottonlanding.Second)
--- a/internal/workflow/planner/life.go
+++ b/internal/workflow/planner/life.go
@@ -24,7 +24,7 @@
 // readingTolerance is how far a clock must be behind to count as restarted. Readings and instants are whole
 // milliseconds, so that answers may cross within one: a poll sent just before another answer arrives can show a clock
 // 1 ms behind, and without tolerance a sound life would be taken for ended. The clock of a new life starts at zero and
-// is far behind except in its predecessor's first moments.
+// is far behind except in the first moments of the previous life.
 const readingTolerance cottonlanding.Reading = 100
 
 // maxEarlierBirths is how many earlier births of a worker are kept to recognize list entries that are read late.
@@ -116,7 +116,7 @@
 	return w
 }
 
-// lifeRef identifies the life on which the run was placed.
+// lifeRef identifies the life on which the run was placed, by the worker's id and the birth in the task's row.
 func (r *run) lifeRef() cottonlanding.Life {
 	return cottonlanding.Life{Worker: r.worker.info.ID, Born: r.born}
 }
--- a/internal/workflow/planner/life_test.go
+++ b/internal/workflow/planner/life_test.go
@@ -124,7 +124,7 @@
 // silent, its run must not be given up before that lease has expired, whether a poll showed the next life or only the
 // clock in the answer to the start.
 func TestNextLifeLeaseExpiresFirst(t *testing.T) {
-	for name, polled := range map[string]bool{"a look has shown it": true, "only a clock": false} {
+	for name, polled := range map[string]bool{"a poll has shown it": true, "only a clock": false} {
 		t.Run(name, func(t *testing.T) { testNextLifeLease(t, polled) })
 	}
 }
@@ -180,8 +180,8 @@
 }
 
 // TestOvertakingAnswerStopsRun guards against a double start: the next life answers a poll before it takes a start,
-// and the answer to the start, which carries no birth, arrives first. The owner then took the run for one of the
-// previous life, which the poll answer had ended, and didn't have it stopped.
+// and the answer to the start, which carries no birth, arrives first. The owner must not take the run for one of the
+// previous life that the poll answer ends: it must have the run stopped.
 func TestOvertakingAnswerStopsRun(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 1))
--- a/internal/workflow/planner/logbatch.go
+++ b/internal/workflow/planner/logbatch.go
@@ -87,8 +87,8 @@
 		"SilentFor", silent, "LastAnswer", now-w.lastAnswerAt, "Why", why)
 }
 
-// logSkippedEnds logs the ends in an answer that count as recorded before, if the worker was told that it may
-// forget them: it should no longer have any of those.
+// logSkippedEnds logs the ends in an answer whose consequences are already committed. A worker lists such an end again
+// if it was not told yet that it may forget it, or if it did not forget it.
 func (c *Cell) logSkippedEnds(w *worker, ends []cottonlanding.RunEnd) {
 	var skipped []string
 	for _, end := range ends {
--- a/internal/workflow/planner/openlife.go
+++ b/internal/workflow/planner/openlife.go
@@ -9,7 +9,7 @@
 
 // When a lease expires it is unknown whether the worker crashed under the task or is only unreachable. Such a life is
 // open: whichever owner hears of the worker next learns the outcome. An answer of the same life says that the life
-// outlived the task, another life in its place that it ended. Until then the loss isn't counted.
+// went on after the loss, another life in its place that it ended. Until then the loss isn't counted.
 
 // openLives holds the open lives of one worker.
 type openLives struct {
--- a/internal/workflow/planner/order.go
+++ b/internal/workflow/planner/order.go
@@ -48,10 +48,12 @@
 	worker *worker
 }
 
-// ErrObsoleteStart reports that a start was not sent because its run is to be stopped.
-var ErrObsoleteStart = fmt.Errorf("start not sent because its run is to be stopped: %w", cottonlanding.ErrUnavailable)
+// ErrObsoleteStart reports that a start was not sent because its run is to be stopped or its data centre is evacuated.
+var ErrObsoleteStart = fmt.Errorf("start not sent: run to be stopped or data centre evacuated: %w",
+	cottonlanding.ErrUnavailable)
 
-// Obsolete reports whether the order is a start whose run is to be stopped by now. Such an order must not be sent.
+// Obsolete reports whether the order is a start that must not be sent any more: its run is to be stopped, or the data
+// centre of its worker is evacuated.
 // Obsolete is safe to call while the cell is in use.
 func (o Order) Obsolete() bool {
 	return o.Verb == VerbStart && o.run != nil && o.run.unwanted.Load()
@@ -77,7 +79,7 @@
 	return out
 }
 
-// HoldStarts suspends or resumes the issuing of starts, and reports whether that changed anything.
+// HoldStarts suspends the issuing of starts, or resumes it, and reports whether that changed anything.
 func (c *Cell) HoldStarts(hold bool) bool {
 	changed := c.startsSuspended != hold
 	c.startsSuspended = hold
@@ -162,7 +164,8 @@
 	return Order{}, false
 }
 
-// recordSent records that a start is issued, and until when its lease lasts.
+// recordSent records that a start is issued, and until when its lease lasts. Its answer raises sentAt to the time at
+// which the driver sent it.
 func (r *run) recordSent(until cottonlanding.Reading, now cottonlanding.Millis) {
 	r.sentAt = now
 	r.startDeadline = max(r.startDeadline, until)
@@ -225,8 +228,8 @@
 	}
 }
 
-// updateLifeFromAnswer records what the answer to an order shows about the worker's life. Orders don't name a birth: one
-// without an answer may have reached another life.
+// updateLifeFromAnswer records what the answer to an order shows about the worker's life. Orders don't name a birth:
+// one without an answer may have reached another life.
 func (c *Cell) updateLifeFromAnswer(w *worker, order Order, reading cottonlanding.Reading, err error, now cottonlanding.Millis) {
 	if errors.Is(err, cottonlanding.ErrAmbiguous) {
 		w.orderUnanswered = true
--- a/internal/workflow/planner/outage.go
+++ b/internal/workflow/planner/outage.go
@@ -30,7 +30,7 @@
 	c.outages = append(c.outages, outage{w, now, w.provoked(now)})
 }
 
-// recordContact records that a worker answers again: it was unreachable or slow, and did not crash.
+// recordContact forgets the outage of a worker that answers again: it was unreachable or slow, and did not crash.
 func (c *Cell) recordContact(w *worker) {
 	c.outages = slices.DeleteFunc(c.outages, func(o outage) bool { return o.worker == w })
 }
--- a/internal/workflow/planner/placementfailure.go
+++ b/internal/workflow/planner/placementfailure.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// covers reports whether a task is guaranteed to find no worker. Lasting tasks are never ruled out, since a worker
-// may be held for one of them alone.
+// covers reports whether a failure of the pass shows that a task is guaranteed to find no worker. Lasting tasks are
+// never covered, since a worker may be held for one of them alone.
 func (f *placementFailures) covers(t *task) bool {
 	if t.stage.Lasting {
 		return false
--- a/internal/workflow/planner/plan.go
+++ b/internal/workflow/planner/plan.go
@@ -13,8 +13,9 @@
 const (
 	specPrefix  = "Specs/"
 	statePrefix = "States/"
-	// maxPlanWrites bounds the rows that jobs and referrals add to one transaction. The table accepts 100 entries: the
-	// guard, the lane, the learnt interference and the lease bounds take six.
+	// maxPlanWrites bounds the rows that jobs and referrals add to one transaction. The table accepts 100 entries, of
+	// which five are needed otherwise: one for the guard, two for the committer's lane row (see the package committer),
+	// one each for the learnt interference and the lease bounds.
 	maxPlanWrites = 90
 	// maxPlanBytes is the length of the values of a plan, in bytes, from which no further job is added. With one more
 	// job and the learnt interference, and encoded as base64, a plan stays below the table's limit of 1 MB.
@@ -51,7 +52,7 @@
 	Placed bool `json:"Begun,omitempty"`
 	// Started alone doesn't make the row dirty: it is written with the next other change, see Cell.Waiting.
 	Started bool `json:",omitempty"`
-	// DelegatedBy is the cell that delegated the workflow, in the row of a delegated one.
+	// DelegatedBy is the cell that delegated the workflow, in the row of a delegated one, which delegated.go explains.
 	DelegatedBy *cottonlanding.CellNumber `json:"GuestOf,omitempty"`
 	Rounds      roundCount                `json:",omitzero"`
 	Tasks       []taskRow                 `json:",omitempty"`
@@ -72,18 +73,17 @@
 	ResumeFrom *cottonlanding.Checkpoint
 	// OpenLife is the last life whose lease expired under the task and that hasn't been heard from since.
 	OpenLife cottonlanding.Life
-	// Charged says that the loss of the current run is already counted in Losses: the run is being ruled out on the
-	// life after the one on which it was placed.
+	// Charged says that the loss of the current run is already counted in Losses (run.lossCounted): the life on which
+	// the run was placed has ended, and the next one must still confirm that it won't start it.
 	Charged bool
-	// Outlived says that the current run has lasted longer than a task that crashes its worker would, and isn't
-	// Charged.
+	// Outlived says that the current run has lasted for promptWindow (run.outlastedPromptWindow), and isn't Charged.
 	Outlived bool
 	// startsRun says that the current run is started with Checkpoint. It isn't encoded.
 	startsRun bool
 }
 
 // MarshalJSON encodes the fields in order. Losses are negated if the loss of the current run is counted; Crashes become
-// -1-Crashes if the current run has outlived the window of a crash.
+// -1-Crashes if the current run has lasted for promptWindow.
 func (r taskRow) MarshalJSON() ([]byte, error) {
 	losses := r.Losses
 	if r.Charged {
--- a/internal/workflow/planner/preempt.go
+++ b/internal/workflow/planner/preempt.go
@@ -14,13 +14,13 @@
 	// headroomFactor is how many times a task's resources must be free in total, since a start is required where
 	// capacity exists twice over.
 	headroomFactor = 2
-	// holdAfter is how long a lasting task waits before a worker is held for it, holdTimeout for how long at most.
-	// The task must start within about 9 s. Each held worker delays short tasks, so that there is only one per
-	// workersPerHold workers, which is enough, or one per workersPerInterruptedHold for interrupted tasks, each of
-	// which has to start in time.
-	holdAfter                 = 5 * cottonlanding.Second
-	holdTimeout               = 4 * cottonlanding.Second
-	workersPerHold            = 48
+	// holdAfter is how long a lasting task waits before a worker is held for it: it must start within about 9 s.
+	holdAfter = 5 * cottonlanding.Second
+	// holdTimeout is how long a worker is held for a task at most.
+	holdTimeout = 4 * cottonlanding.Second
+	// workersPerHold is the number of workers of a cell per held one: each held worker delays short tasks.
+	workersPerHold = 48
+	// workersPerInterruptedHold is workersPerHold for interrupted tasks, each of which has to start in time.
 	workersPerInterruptedHold = 4
 )
 
@@ -68,7 +68,8 @@
 }
 
 // holdWorker holds a worker for a lasting task that has waited long although there is enough room in total. Without
-// it, short tasks would take each bit of room before one worker has enough. It reports whether a worker is held.
+// it, short tasks would take each bit of room before one worker has enough. It reports whether a worker is held. The
+// log line calls a hold a reservation; the room that reservation.go reserves follows another rule.
 func (c *Cell) holdWorker(t *task, now cottonlanding.Millis) bool {
 	if !t.waitsLong(now) || !c.hasTotalHeadroom(t, now) {
 		return false
@@ -98,8 +99,8 @@
 
 // maxHeld returns the number of held workers from which on no further one is held for a task. Tasks that were
 // interrupted together each have to run again in time, so that they get several workers rather than wait for one
-// another. Where lasting tasks hold most of the room, few short ones would make way, and held workers would be
-// missing to smaller tasks here and in other cells.
+// another. Where lasting tasks take most of the room, few short tasks would end and free room, and the held workers
+// would be withheld from smaller tasks here and from those of other cells.
 func (c *Cell) maxHeld(t *task, now cottonlanding.Millis) int {
 	if t.precedence(now) == interruptedPrecedence && !c.reserved.nearlyFull(t) {
 		return max(1, len(c.workers)/workersPerInterruptedHold)
--- a/internal/workflow/planner/rejection.go
+++ b/internal/workflow/planner/rejection.go
@@ -6,13 +6,13 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// rejection is the first check that rules a worker out for a task.
+// rejection is the first check by which a worker is rejected for a task.
 type rejection int
 
 const (
 	// notRejected means that the worker can take the task.
 	notRejected rejection = iota
-	// rejectedUnusable rules a worker out for all tasks: it is silent, leaving, evacuated or has just refused a
+	// rejectedUnusable applies to all tasks: the worker is silent, leaving, evacuated or has just refused a
 	// start.
 	rejectedUnusable
 	// rejectedBarred means that the service or a label doesn't match, or that the worker has as many tasks of the
@@ -31,7 +31,7 @@
 	rejections
 )
 
-// rejection returns what rules a worker out for a task. Cheap checks come first.
+// rejection returns why a worker is rejected for a task. Cheap checks come first.
 func (c *Cell) rejection(t *task, w *worker, now cottonlanding.Millis) rejection {
 	room := c.room(w, now)
 	switch {
@@ -73,7 +73,7 @@
 	return enough && c.sustainablePace(w, t.stage.Step, now) >= minPaceFraction
 }
 
-// countRejections counts the workers by what rules them out for a task. It restores their cached room afterwards,
+// countRejections counts the workers by why they are rejected for a task. It restores their cached room afterwards,
 // so that logging does not change decisions.
 func (c *Cell) countRejections(t *task, now cottonlanding.Millis) [rejections]int {
 	var counts [rejections]int
--- a/internal/workflow/planner/restart_test.go
+++ b/internal/workflow/planner/restart_test.go
@@ -90,8 +90,8 @@
 }
 
 // TestTaskOnRestartedWorkerIsDone guards against starting a task again and again on a restarted worker, from the same
-// cause: each repeat adds one end, until the numbers of the new life have caught up with those of the previous one. A
-// task that only that worker may run wasn't done within 10 s, in 40 starts.
+// cause: each repeat adds one end, until the numbers of the new life have caught up with those of the previous one. One
+// start must do, also for a task that only that worker may run.
 func TestTaskOnRestartedWorkerIsDone(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 40))
--- a/internal/workflow/planner/room.go
+++ b/internal/workflow/planner/room.go
@@ -21,7 +21,8 @@
 	free cottonlanding.Resources
 	// spare is the CPU that all runs are expected to leave unused.
 	spare cottonlanding.Millicores
-	// hasTrial says that a trial runs on the worker, hasTrialHeadroom that its serving tasks can tolerate one.
+	// hasTrial says that a trial runs on the worker, hasTrialHeadroom that all its serving tasks are below their
+	// utilization goals by trialHeadroom.
 	hasTrial, hasTrialHeadroom bool
 	// slacks holds for each serving image by how much the load of its tasks may grow.
 	slacks []imageSlack
--- a/internal/workflow/planner/rowsize.go
+++ b/internal/workflow/planner/rowsize.go
@@ -40,7 +40,7 @@
 	// lives is the size of the worker lives on which tasks are placed, open the size of those that tasks have left
 	// open, in bytes.
 	lives, open int
-	// remote is the size of the states of tasks that run in other cells, in bytes.
+	// remote is the size of the states of tasks that other cells hold (task.remote), in bytes.
 	remote int
 }
 
--- a/internal/workflow/planner/run.go
+++ b/internal/workflow/planner/run.go
@@ -56,7 +56,7 @@
 		c.fail(t, w, now)
 	default:
 		if end.Kind == cottonlanding.EndLapsed {
-			t.clearLosses() // its worker has survived it by a lease
+			t.clearLosses() // its worker outlived the start by a whole lease
 		}
 		c.requeue(t, now)
 	}
@@ -200,7 +200,7 @@
 }
 
 // dropOverCapacity revokes starts that no longer fit because the capacity of their worker has shrunk since they were
-// placed, in the order of evictionRank. Started runs continue.
+// placed, in the order of revocationRank. Started runs continue.
 func (c *Cell) dropOverCapacity(w *worker, now cottonlanding.Millis) {
 	free := w.free()
 	if withinCapacity(free) {
@@ -233,8 +233,8 @@
 // withinCapacity reports whether the free room is not negative.
 func withinCapacity(free cottonlanding.Resources) bool { return cottonlanding.Resources{}.Fits(free) }
 
-// leaseExpired reports whether the runs of a worker must have ended, or can no longer begin. An idle worker has no lease
-// until its next start brings one: while it answers, runs that weren't sent yet are not lost.
+// leaseExpired reports whether the runs of a worker must have ended, or can no longer begin. An idle worker has no
+// lease until its next start brings one: while it answers, runs that weren't sent yet are not lost.
 func (w *worker) leaseExpired(now cottonlanding.Millis) bool {
 	if w.runs.size() == 0 || now <= w.leaseBound || w.listed && !w.polled {
 		return false
@@ -242,8 +242,9 @@
 	return !w.listed || !w.reachable(now) || slices.ContainsFunc(w.runs.all(), (*run).mayHaveBegun)
 }
 
-// leaseExpiredBeforePoll reports whether the leases of a listed worker have expired before this owner has polled it to a
-// conclusion. Its lasting runs have ended whatever it would report; other runs may have succeeded before.
+// leaseExpiredBeforePoll reports whether the leases of a listed worker have expired before a poll of this owner was
+// answered or its polls have failed for silenceTimeout. Its lasting runs have ended whatever it would report; other
+// runs may have succeeded before.
 func (w *worker) leaseExpiredBeforePoll(now cottonlanding.Millis) bool {
 	return w.listed && !w.polled && now > w.leaseBound
 }
@@ -253,11 +254,11 @@
 	return slices.DeleteFunc(w.runs.snapshot(), func(r *run) bool { return !r.step.Lasting || r.task == nil })
 }
 
-// revocationRank returns the position of a kind of task in the order of eviction, lowest first.
+// revocationRank returns the position of a kind of task in the order in which starts are revoked, lowest first.
 func revocationRank(k kind) int { return slices.Index([]kind{fillingTask, shortTask, lastingTask}, k) }
 
-// expireLeases ends the runs on workers whose lease has expired. A new owner first polls each of these workers: their runs may
-// have succeeded long before that, and must not run again.
+// expireLeases ends the runs on workers whose lease has expired. A new owner first polls each of these workers: their
+// runs may have succeeded long before that, and must not run again.
 func (c *Cell) expireLeases(now cottonlanding.Millis) {
 	c.endReplacedWorkers(now)
 	for _, w := range c.sortedWorkers() {
--- a/internal/workflow/planner/sharedlearnt.go
+++ b/internal/workflow/planner/sharedlearnt.go
@@ -11,8 +11,8 @@
 // Each cell learns for itself how images interfere, and stores that. What other cells have stored is combined with it
 // only where a weight is read: no cell passes on what another has learnt, so that each measurement counts once.
 
-// pairEvidence is what one cell has learnt of a pair beyond the initial assumption: its precision, which is the inverse of
-// its variance, and its moment, the weight times the precision.
+// pairEvidence is what one cell has learnt of a pair beyond the initial assumption: its precision, which is the inverse
+// of its variance, and its moment, the weight times the precision.
 type pairEvidence struct {
 	precision, moment float64
 }
@@ -29,7 +29,7 @@
 	return pairEvidence{precision, pair.Weight/(pair.StandardError*pair.StandardError) - initialWeight*initialPrecision}
 }
 
-// combine returns what is known of a pair together with the findings of other cells.
+// combine returns what is known of a pair together with the evidence of other cells.
 func combine(own cottonlanding.PairView, others pairEvidence) cottonlanding.PairView {
 	if others.precision == 0 {
 		return own
@@ -42,8 +42,8 @@
 // evidenceByPair holds what other cells have learnt, by serving and filling image.
 type evidenceByPair map[cottonlanding.Image]map[cottonlanding.Image]pairEvidence
 
-// add adds the findings in the row of one cell. Their standard errors have the lower bound that applies to rows of a
-// predecessor.
+// add adds the evidence in the row of one cell. Their standard errors have the lower bound that applies to rows of a
+// previous owner.
 func (f evidenceByPair) add(row learntRow) {
 	for _, serving := range row.Serving {
 		if f[serving.Image] == nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// HasImages reports whether this cell has images for which the findings of other cells are of use.
+// HasImages reports whether this cell has images for which the evidence of other cells is of use.
 func (c *Cell) HasImages() bool { return c.hasImages }
 
 // recordMinTail records a tail latency if it is the shortest measured for an image.
--- a/internal/workflow/planner/shrink_test.go
+++ b/internal/workflow/planner/shrink_test.go
@@ -37,8 +37,8 @@
 	return out
 }
 
-// TestStartsFitShrunkenCapacity guards against starts that exceed the last listed capacity of their worker. It shrinks the
-// capacity and restores it repeatedly, while tasks are placed or committed, and over a change of the owner. All
+// TestStartsFitShrunkenCapacity guards against starts that exceed the last listed capacity of their worker. It shrinks
+// the capacity and restores it repeatedly, while tasks are placed or committed, and over a change of the owner. All
 // tasks must be done in the end.
 func TestStartsFitShrunkenCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/workflow/planner/stability.go
+++ b/internal/workflow/planner/stability.go
@@ -29,7 +29,9 @@
 	return !w.isUnstable(now) && w.age(now) >= stableAge
 }
 
-// recordPreviousLifeEnd inherits the record of earlier ends from the predecessor and adds the predecessor's own end.
+// recordPreviousLifeEnd inherits the record of earlier ends from the previous life and adds that life's own end. All
+// its runs are passed to suspectsAmong: an only run stands out however long ago it began, so that its loss with this
+// life as well is taken for that of an unstable worker.
 func (w *worker) recordPreviousLifeEnd(previous *worker, now cottonlanding.Millis) {
 	w.unprovokedEnds, w.lastUnprovokedEndAt, w.previousLifeAnswered = previous.unprovokedEnds, previous.lastUnprovokedEndAt, previous.lastAnswerAt > 0
 	at := previous.lostContactAt(now)
--- a/internal/workflow/planner/staleentry_test.go
+++ b/internal/workflow/planner/staleentry_test.go
@@ -65,7 +65,8 @@
 
 // TestCrossedAnswersKeepRuns guards against taking a sound life for ended: a poll is sent in the same
 // millisecond in which the answer to a start arrives, just before it, so that its own answer shows a clock 1 ms
-// behind. Without births, that looked like another life, and runs were given up and started again while they went on.
+// behind. Without births, that must not look like another life: runs would be given up and started again while they
+// go on.
 func TestCrossedAnswersKeepRuns(t *testing.T) {
 	w := newSpreadWorld(t)
 	w.play(cottonlanding.Second)
@@ -89,8 +90,8 @@
 	require.Equal(t, 4, w.runner.Starts())
 }
 
-// TestPollAfterFailureOmitsLeaseAndEnds: the poll after a failed one carries neither acknowledged ends nor a lease, because
-// another life may take it.
+// TestPollAfterFailureOmitsLeaseAndEnds: the poll after a failed one carries neither acknowledged ends nor a lease,
+// because another life may take it.
 func TestPollAfterFailureOmitsLeaseAndEnds(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 3))
@@ -128,9 +129,9 @@
 	require.Equal(t, []uint64{1}, acknowledged)
 }
 
-// TestClockRegressionWithholdsAcknowledgement guards against acknowledging the ends of the wrong life: a worker crashes and is
-// back between two polls, and the next life answers a start. Its clock must show that before a poll acknowledges ends
-// by the numbers of the previous life. A clock that goes on must not.
+// TestClockRegressionWithholdsAcknowledgement guards against acknowledging the ends of the wrong life: a worker crashes
+// and is back between two polls, and the next life answers a start. Its clock must show that before a poll acknowledges
+// ends by the numbers of the previous life. A clock that goes on must not.
 func TestClockRegressionWithholdsAcknowledgement(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("before", "Urgent", quickOn("w1", 1))
--- a/internal/workflow/planner/successiveowners_test.go
+++ b/internal/workflow/planner/successiveowners_test.go
@@ -33,7 +33,7 @@
 	w.takeOverFrom(killed + ownerGoneAfter)
 }
 
-// turnWithHangingPolls plays a turn in which polls of one worker hang for lookTakes before they fail.
+// turnWithHangingPolls plays a turn in which polls of one worker hang for pollTimeout before they fail.
 func (w *world) turnWithHangingPolls(id cottonlanding.WorkerID, hangsSince *cottonlanding.Millis, pollTimeout cottonlanding.Millis) {
 	w.decide(turnSpan)
 	for _, info := range w.workers {
@@ -52,7 +52,7 @@
 }
 
 // TestBoundsSurviveOwnerThatPolledNobody guards against an owner that drops the inherited lease bound of a silent
-// worker and is lost before it has polled it, so that its successor waits for the whole lease again.
+// worker and is lost before it has polled it, so that the next owner waits for the whole lease again.
 func TestBoundsSurviveOwnerThatPolledNobody(t *testing.T) {
 	for _, lives := range []cottonlanding.Millis{200, 500, 1000, 1500} {
 		for _, unlist := range []bool{true, false} {
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestLeasesFromEarlierOwnersCount guards against an owner that considers only the end of its direct predecessor and
-// gives up runs whose leases an earlier, partitioned owner has renewed for longer.
+// TestLeasesFromEarlierOwnersCount guards against an owner that considers only the end of the owner directly before it
+// and gives up runs whose leases an earlier, partitioned owner has renewed for longer.
 func TestLeasesFromEarlierOwnersCount(t *testing.T) {
 	w := newLastingWorld(t)
 	// The first owner may own the cell for 4 s more by its last beat, and is partitioned from the table.
--- a/internal/workflow/planner/successor.go
+++ b/internal/workflow/planner/successor.go
@@ -9,7 +9,7 @@
 
 // Only one process at a time has an address. A life that is no longer listed has ended once another one has answered
 // at its address to a poll that was sent after that life's last answer. A list entry of the other life proves nothing:
-// entries of ended lives stay listed for some seconds, also beside and after those of their successors.
+// entries of ended lives stay listed for some seconds, also beside and after those of their replacements.
 
 // endReplacedWorkers ends the runs, and resolves the open lives, of workers that are no longer listed and at whose
 // addresses others answer.
--- a/internal/workflow/planner/successor_test.go
+++ b/internal/workflow/planner/successor_test.go
@@ -44,8 +44,8 @@
 	return w
 }
 
-// TestStaleEntryKeepsReplacement guards against taking a running worker for ended because the entry of the crashed one whose
-// address it has stays listed for longer; its tasks would run twice.
+// TestStaleEntryKeepsReplacement guards against taking a running worker for ended because the entry of the crashed one
+// whose address it has stays listed for longer; its tasks would run twice.
 func TestStaleEntryKeepsReplacement(t *testing.T) {
 	for _, ownerChanges := range []bool{false, true} {
 		w := playStaleEntry(t, ownerChanges)
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestUnpolledEntryKeepsReplacement guards against taking a crashed worker for the successor of the one that started at its
-// address later. The crashed one was never polled, and its entry is still listed when the other one's is removed; that
-// one's tasks would run twice.
+// TestUnpolledEntryKeepsReplacement guards against taking a crashed worker for the replacement of the one that started
+// at its address later. The crashed one was never polled, and its entry is still listed when the other one's is
+// removed; that one's tasks would run twice.
 func TestUnpolledEntryKeepsReplacement(t *testing.T) {
 	w := newWorldWithBirths(t)
 	crashed := w.workers[0]
--- a/internal/workflow/planner/trial.go
+++ b/internal/workflow/planner/trial.go
@@ -52,7 +52,8 @@
 	return false
 }
 
-// hasTrialHeadroom reports whether all serving tasks are below their goals by trialHeadroom in their last measurements.
+// hasTrialHeadroom reports whether all serving tasks were below their utilization goals by trialHeadroom in their last
+// measurements.
 func (c *Cell) hasTrialHeadroom(serving []*run) bool {
 	for _, s := range serving {
 		if s.tailLatency > 0 && c.interference.utilization(s, s.tailLatency) > c.interference.utilizationGoal(s)-trialHeadroom {
@@ -62,8 +63,8 @@
 	return true
 }
 
-// trialAllowed reports whether placing a task of a step on a worker starts no trial, or one for which all serving
-// tasks there have headroom and which is the only one.
+// trialAllowed reports whether a trial does not keep a task of a step from a worker: placing it there is no trial, or
+// is the only one and all serving tasks there have headroom for it.
 func (c *Cell) trialAllowed(w *worker, step cottonlanding.Step, now cottonlanding.Millis) bool {
 	room := c.room(w, now)
 	for _, s := range room.slacks {
--- a/internal/workflow/planner/waiting.go
+++ b/internal/workflow/planner/waiting.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// logRejections logs how many workers are ruled out for a task by each check.
+// logRejections logs how many workers each check rejects for a task.
 func (c *Cell) logRejections(log *slog.Logger, t *task, now cottonlanding.Millis) {
 	counts := c.countRejections(t, now)
 	log.Info("step waits", "Task", t.ref.String(), "Run", t.number, "Waited", now-t.waitingSince, "Workers", len(c.workers),
--- a/internal/workflow/planner/worker.go
+++ b/internal/workflow/planner/worker.go
@@ -43,7 +43,7 @@
 	planned phase = iota
 	// committed runs may be sent.
 	committed
-	// sent runs may have started.
+	// sent runs may have started: a start was issued, which may still be queued in the driver.
 	sent
 	// started runs are known to have started.
 	started
@@ -56,24 +56,25 @@
 	worker *worker
 	step   cottonlanding.Step
 	phase  phase
-	// life is the worker's life on which this owner placed the run or took it over; born is the birth of that life as
-	// in the task's row.
+	// life is the life of the worker on which this owner placed the run or took it over, worker its present life; born
+	// is the birth of the former as in the task's row.
 	life *worker
 	born cottonlanding.Birth
 	// startedByOtherLife says that another life than the intended one took the start, so that sentAt doesn't bound
 	// when the run began.
 	startedByOtherLife bool
-	// outlastedPromptWindow says that the worker listed the run for longer than a task that crashes the worker on start would
-	// last.
+	// outlastedPromptWindow says that the worker listed the run for promptWindow, longer than a task that crashes the
+	// worker on start would last.
 	outlastedPromptWindow bool
 	// lossCounted says that the loss of the run was counted against its task, crashCounted that it was counted as a
 	// crash.
 	lossCounted  bool
 	crashCounted bool
 
-	// sentAt is when the last start was sent. Which of several unanswered starts began the run is unknown.
+	// sentAt is when the last start was issued, corrected by its answer to when the driver sent it. Which of several
+	// unanswered starts began the run is unknown.
 	sentAt cottonlanding.Millis
-	// firstSentAt is when this owner sent the first start.
+	// firstSentAt is when this owner issued the first start.
 	firstSentAt cottonlanding.Millis
 	// startDeadline is the reading of the worker's clock after which it refuses all starts of this owner.
 	startDeadline cottonlanding.Reading
@@ -90,19 +91,21 @@
 	// startUnconfirmed says that a start without an answer may still take effect.
 	startUnconfirmed bool
 
-	// stopping says that the run must end; lastStopAckAt is when the worker last acknowledged a stop.
+	// stopping says that the run must end. It is ruled out once its worker refuses all its starts and doesn't list it,
+	// after which its task may run again. lastStopAckAt is when the worker last acknowledged a stop.
 	stopping      bool
 	stopReason    string
 	lastStopAckAt cottonlanding.Millis
 	// stopRequestedAt is when stopping was set, stopSentAt when the first stop that was answered or timed out was
-	// sent, stopTries the number of stops given out.
+	// sent, stopTries the number of stops issued.
 	stopRequestedAt cottonlanding.Millis
 	stopSentAt      cottonlanding.Millis
 	stopTries       int
 	// nextStop is when the next stop may be sent, stopInFlight says that one is unanswered.
 	nextStop     cottonlanding.Millis
 	stopInFlight bool
-	// unwanted mirrors stopping for the senders of orders, which read it while the cell is busy.
+	// unwanted says that no start of the run may be sent: it is stopping, or its data centre is evacuated. The senders
+	// of orders read it while the cell is busy.
 	unwanted atomic.Bool
 	// firstStopAckAt is when the worker first acknowledged a stop. From then on it refuses all starts of the run.
 	firstStopAckAt cottonlanding.Millis
@@ -123,14 +126,14 @@
 	placedAt  cottonlanding.Millis
 }
 
-// worker is one life of a worker.
+// worker is what this owner knows of one life of a worker.
 type worker struct {
 	info   cottonlanding.WorkerInfo
 	listed bool
 	// evacuated says that nothing new may be placed in the worker's data centre.
 	evacuated bool
-	// born is the birth of the life as in its poll answers, previous the births of earlier lives, predecessor the
-	// previous life while its runs are unsettled.
+	// born is the birth of the life as in its poll answers, previous the births of earlier lives, previousLife the
+	// life before this one while its runs are unsettled.
 	born         cottonlanding.Birth
 	previous     []cottonlanding.Birth
 	previousLife *worker
@@ -144,7 +147,7 @@
 	// last was seen at lastUnprovokedEndAt.
 	unprovokedEnds      int
 	lastUnprovokedEndAt cottonlanding.Millis
-	// previousLifeAnswered says that this owner had poll answers of the previous life, predecessorSuspects holds the
+	// previousLifeAnswered says that this owner had poll answers of the previous life, previousLifeSuspects holds the
 	// tasks whose runs stood out when it ended.
 	previousLifeAnswered bool
 	previousLifeSuspects []*task
@@ -172,8 +175,8 @@
 	// pollFailedSince is when the first poll since the last answer failed.
 	pollFailedSince cottonlanding.Millis
 	nextPollAt      cottonlanding.Millis
-	// lastContactAt is when the worker last answered a poll or an order, unansweredSince when it was given the first
-	// order since then, or zero.
+	// lastContactAt is when the worker last answered a poll or an order, unansweredSince when the first order since
+	// then was issued to it, or zero.
 	lastContactAt   cottonlanding.Millis
 	unansweredSince cottonlanding.Millis
 	// dataCentreSilent says that the worker's data centre is silent.
@@ -269,7 +272,7 @@
 	c.sorted = nil
 }
 
-// loss is the reason why a worker's runs count as lost.
+// loss is the reason why a worker's runs count as lost. What is known of the loss of one run is a RunLoss.
 type loss string
 
 // The reasons of losses, which are logged.
