--- a/internal/workflow/planner/blame.go
+++ b/internal/workflow/planner/blame.go
@@ -27,12 +27,13 @@
 )
 
 // suspectsAmong returns those of the runs lost with a life that stand out as the cause of its end at an instant: all
-// that began within promptWindow before it, or else the only one that began within recentWindow. Several runs of the
-// latter kind are no suspects, because one of them would be charged with each unrelated crash.
+// that began within promptWindow before it, or else the only one. Several runs that began earlier are no suspects,
+// because one of them would be blamed for each unrelated crash. No window is checked for an only run: attributeCrash
+// passes just the runs that count (countableLosses).
 func suspectsAmong(lost []*run, at cottonlanding.Millis) []*run {
 	prompt := make([]*run, 0, len(lost))
 	for _, r := range lost {
-		if r.beganJustBefore(at) {
+		if r.beganInPromptWindow(at) {
 			prompt = append(prompt, r)
 		}
 	}
@@ -42,12 +43,12 @@
 	return prompt
 }
 
-// countableLosses returns the runs of a worker whose loss counts for their tasks: those that began within
-// recentWindow before its life ended, or, if that end was expected, those that may have begun just before it.
+// countableLosses returns the runs of a worker whose loss counts for their tasks: those that may have begun within
+// recentWindow before its life ended or later, or, if that end was expected, within promptWindow before it or later.
 func countableLosses(w *worker, runs []*run, at cottonlanding.Millis) []*run {
 	var lost []*run
 	for _, r := range runs {
-		if r.mayHaveJustBegun(at) || r.mayHaveBegunSoonBefore(at) && !w.endExpectedFor(r) {
+		if r.mayHaveBegunSincePromptWindow(at) || r.mayHaveBegunSinceRecentWindow(at) && !w.endExpectedFor(r) {
 			lost = append(lost, r)
 		}
 	}
@@ -64,7 +65,7 @@
 	suspects := suspectsAmong(lost, at)
 	crash := c.crashView(w, at)
 	end := cottonlanding.RunLoss{
-		LifeEnded:     why != lossByLapse,
+		LifeEnded:     why != lossByExpiry,
 		Answered:      w.lastAnswerAt > 0,
 		Recent:        true,
 		Unstable:      w.isUnstable(at),
@@ -81,7 +82,7 @@
 		finding := c.assessLoss(r, loss)
 		summaries = append(summaries, fmt.Sprintf("%s#%d seen for %d %s losses %d crashes %d", r.Task, r.Number, r.observedFor(),
 			finding, r.task.crashes.Losses, r.task.crashes.Crashes))
-		suspect := cottonlanding.SuspectView{Record: r.task.crashes, Finding: finding, SoleSuspect: len(suspects) == 1, JustStarted: r.beganJustBefore(at), Crash: crash}
+		suspect := cottonlanding.SuspectView{Record: r.task.crashes, Finding: finding, SoleSuspect: len(suspects) == 1, JustStarted: r.beganInPromptWindow(at), Crash: crash}
 		if finding > cottonlanding.NoProof && c.shouldGiveUp(suspect) {
 			faultyTasks = append(faultyTasks, r.task)
 		}
@@ -92,13 +93,13 @@
 	return faultyTasks
 }
 
-// lossOf describes the loss of one run of a worker, given the end of the worker.
+// lossOf returns the facts about the loss of one run of a worker. end holds those that apply to all its runs.
 func lossOf(end cottonlanding.RunLoss, w *worker, r *run, standsOut bool) cottonlanding.RunLoss {
 	loss := end
 	loss.LifeEnded = end.LifeEnded || r.isUntraceable()
-	loss.Unstable = end.Unstable || slices.Contains(w.predecessorSuspects, r.task)
+	loss.Unstable = end.Unstable || slices.Contains(w.previousLifeSuspects, r.task)
 	loss.StartConfirmed = r.ackedAt > 0
-	loss.Outlived = r.outlived
+	loss.Outlived = r.outlastedPromptWindow
 	loss.Leaving = w.endExpectedFor(r)
 	loss.StandsOut = standsOut
 	return loss
@@ -184,10 +185,11 @@
 	}
 }
 
-// clear resets the losses of a task whose run has lasted for recentWindow.
+// clear resets the losses of a task if the given run is its current one and its start was confirmed at least
+// recentWindow ago.
 func (c *Cell) clear(r *run, now cottonlanding.Millis) {
 	t := r.task
-	if t == nil || t.run != r || !t.suspected() {
+	if t == nil || t.run != r || !t.hasLossHistory() {
 		return
 	}
 	if r.ackedAt == 0 || now-r.ackedAt < recentWindow {
--- a/internal/workflow/planner/delegated.go
+++ b/internal/workflow/planner/delegated.go
@@ -9,7 +9,8 @@
 
 // A delegated workflow is one of which this cell runs single tasks for the cell that owns it, the delegator
 // (delegation.go). Its rows have the format of the cell's own workflows under a prefix of their own: they name the
-// delegator, and mark the tasks that this cell doesn't hold.
+// delegator, and mark the tasks that this cell doesn't hold. Rows, messages and log lines call a delegated workflow
+// guest, its delegator keeper.
 
 const (
 	// taskNotHeld is the state of a task of a delegated workflow that this cell doesn't hold. Its number is that with
@@ -62,7 +63,8 @@
 	return !j.isDelegatedHere() || j.confirmedAt > 0 && now-j.confirmedAt < confirmationTTL
 }
 
-// remote reports whether another cell may run the task.
+// remote reports whether another cell holds the task: it is delegated, or it belongs to a delegated workflow of which
+// this cell doesn't hold it.
 func (t *task) remote() bool {
 	_, found := t.delegateCell()
 	return found || t.state == taskNotHeld
@@ -84,7 +86,7 @@
 			response.Reports = append(response.Reports, c.endDelegated(asked.Workflow.ID, now))
 			continue
 		}
-		j := c.holdDelegated(request.Delegator, asked, now)
+		j := c.acceptDelegated(request.Delegator, asked, now)
 		if j == nil {
 			continue
 		}
@@ -96,9 +98,9 @@
 	return response
 }
 
-// holdDelegated accepts the requested tasks that this cell doesn't hold yet. It returns nil for a workflow that it
+// acceptDelegated accepts the requested tasks that this cell doesn't hold yet. It returns nil for a workflow that it
 // can't accept.
-func (c *Cell) holdDelegated(delegator cottonlanding.CellNumber, asked DelegatedWorkflow, now cottonlanding.Millis) *job {
+func (c *Cell) acceptDelegated(delegator cottonlanding.CellNumber, asked DelegatedWorkflow, now cottonlanding.Millis) *job {
 	j := c.jobs[asked.Workflow.ID]
 	if j == nil {
 		j = c.addDelegated(delegator, asked, now)
@@ -131,7 +133,7 @@
 	}
 	j := newJob(asked.Workflow, queue, now)
 	j.spec, j.delegatedBy, j.placed, j.state = spec, &delegator, true, cottonlanding.WorkflowRunning
-	j.eachTask(func(t *task) { t.setRemote(taskNotHeld) })
+	j.eachTask(func(t *task) { t.setHolderState(taskNotHeld) })
 	c.addJob(j)
 	c.markDirty(j)
 	c.log.Info("guest accepted", "Workflow", j.ID, "Keeper", delegator, "Epoch", c.setup.Epoch)
@@ -140,11 +142,11 @@
 
 // acceptDelegatedTask accepts a task from its delegator.
 func (c *Cell) acceptDelegatedTask(t *task, requested DelegatedTask, now cottonlanding.Millis) {
-	t.setRemote(taskWaiting)
+	t.setHolderState(taskWaiting)
 	t.number, t.crashes, t.waitingSince, t.lastRunningAt = requested.Number, requested.Crashes, now, 0
 	t.stage.ready = true
 	t.adoptCheckpoint(requested, now)
-	c.recordDelegatedDown(t, now)
+	c.beginDelegatedDowntime(t, now)
 	c.markDirty(t.job)
 	c.reportedAt = 0
 	c.log.Info("guest task accepted", "Task", t.ref.String(), "Run", t.number, "Keeper", t.job.delegatedBy)
@@ -208,7 +210,7 @@
 
 // returnDelegatedTask returns a task. Its number rises by one, so that no earlier request can have it accepted again.
 func (c *Cell) returnDelegatedTask(t *task, now cottonlanding.Millis) {
-	t.setRemote(taskNotHeld)
+	t.setHolderState(taskNotHeld)
 	t.number++
 	c.markDirty(t.job)
 	c.reportedAt = 0
--- a/internal/workflow/planner/delegation.go
+++ b/internal/workflow/planner/delegation.go
@@ -124,15 +124,17 @@
 	return cottonlanding.CellNumber(number), err == nil
 }
 
-// setRemote sets the state of a task without a run when this cell begins or ceases to hold it.
-func (t *task) setRemote(state taskState) {
+// setHolderState sets the state of a task without a run when this cell begins or ceases to hold it: taskWaiting if it
+// holds the task, taskNotHeld or the result of delegatedState if another cell does.
+func (t *task) setHolderState(state taskState) {
 	t.job.size.remote += len(state) - len(t.state)
 	t.state = state
 }
 
 // DelegableTasks returns up to most lasting tasks that wait without room in this cell, those that ran before first.
-// Repeated calls go through all of them in turn. Workflows of which nothing was placed are left out in their home
-// cell, where they can be handed over whole.
+// Repeated calls go through all of them in turn. home reports whether this cell is the one that a workflow's id names
+// (referral.go). Workflows of which nothing was placed are left out in their home cell, where they can be handed over
+// whole.
 func (c *Cell) DelegableTasks(most int, home func(cottonlanding.WorkflowID) bool, now cottonlanding.Millis) []DelegableTask {
 	var interrupted, others []*task
 	for _, j := range c.openJobs {
@@ -162,13 +164,13 @@
 type taskCursor struct{ next int }
 
 // nextTasks returns up to most tasks, beginning after those that it returned last.
-func (r *taskCursor) nextTasks(tasks []*task, most int) []*task {
+func (c *taskCursor) nextTasks(tasks []*task, most int) []*task {
 	count := min(len(tasks), most)
 	if count == 0 {
 		return nil
 	}
-	first := r.next % len(tasks)
-	r.next = first + count
+	first := c.next % len(tasks)
+	c.next = first + count
 	return slices.Concat(tasks[first:], tasks[:first])[:count]
 }
 
@@ -206,7 +208,7 @@
 		c.logRowFull(t, now)
 		return
 	}
-	t.setRemote(state)
+	t.setHolderState(state)
 	t.delegationCommitted = false
 	c.remote[t.job.ID] = t.job
 	c.markDirty(t.job)
@@ -253,7 +255,7 @@
 	return out
 }
 
-// pruneRemote removes the job from the remote ones if none of its tasks is delegated.
+// pruneRemote removes the job from Cell.remote if none of its tasks is delegated.
 func (c *Cell) pruneRemote(j *job) {
 	remote := false
 	j.eachTask(func(t *task) {
@@ -290,7 +292,7 @@
 func (c *Cell) forgetDelegatedTasks(j *job, cell cottonlanding.CellNumber) {
 	j.eachTask(func(t *task) {
 		if at, found := t.delegateCell(); found && at == cell {
-			t.setRemote(taskWaiting)
+			t.setHolderState(taskWaiting)
 			c.markDirty(j)
 		}
 	})
@@ -309,19 +311,19 @@
 	if reported.Running {
 		t.lastRunningAt = now
 		c.markStartedRemotely(j)
-		c.recordRunsElsewhere(t, reported.Number, from, now)
+		c.endDowntimeElsewhere(t, reported.Number, from, now)
 	}
 	if !reported.Returned || reported.Number == t.number || j.state.Final() {
 		return // or the response is about an earlier delegation
 	}
-	t.setRemote(taskWaiting)
+	t.setHolderState(taskWaiting)
 	t.number, t.crashes = reported.Number, reported.Crashes
 	t.adoptCheckpoint(reported, now)
 	if t.returnedBy == nil {
 		t.returnedBy = make(map[cottonlanding.CellNumber]cottonlanding.Millis)
 	}
 	t.returnedBy[from], t.returnedAt, t.waitingSince = now, now, now-reported.Waited
-	c.recordReturned(t, from, now)
+	c.beginReturnedDowntime(t, from, now)
 	c.markDirty(j)
 	c.pruneRemote(j)
 	c.log.Info("delegated task returned", "Task", t.ref.String(), "Run", t.number, "From", from, "Waited", now-t.waitingSince)
--- a/internal/workflow/planner/export_test.go
+++ b/internal/workflow/planner/export_test.go
@@ -33,10 +33,10 @@
 	return []any{taskWaiting, taskAssigned, taskDone, taskNotHeld, delegatedState(cell)}
 }
 
-// GuestRowKeys returns the keys of the rows of a delegated workflow.
-func GuestRowKeys(p cottonlanding.Partition, id cottonlanding.WorkflowID) (spec, state cottonlanding.Key) {
-	guest := &job{Workflow: cottonlanding.Workflow{ID: id}, delegatedBy: new(cottonlanding.CellNumber)}
-	return (&Cell{setup: Setup{Partition: p}}).rowKeys(guest)
+// DelegatedRowKeys returns the keys of the rows of a delegated workflow.
+func DelegatedRowKeys(p cottonlanding.Partition, id cottonlanding.WorkflowID) (spec, state cottonlanding.Key) {
+	delegated := &job{Workflow: cottonlanding.Workflow{ID: id}, delegatedBy: new(cottonlanding.CellNumber)}
+	return (&Cell{setup: Setup{Partition: p}}).rowKeys(delegated)
 }
 
 // Fingerprint describes the cell's view of its workers and tasks without times: two cells with the same fingerprint
@@ -101,7 +101,7 @@
 // OpenLives counts the workers whose open lives the cell still has to resolve.
 func (c *Cell) OpenLives() int { return len(c.openLivesByWorker) }
 
-// DescribeTask describes the state of a task, and what rules each worker out for it.
+// DescribeTask describes the state of a task, and why each worker is rejected for it.
 func (c *Cell) DescribeTask(ref cottonlanding.TaskRef, now cottonlanding.Millis) string {
 	j := c.jobs[ref.Workflow]
 	if j == nil {
@@ -126,7 +126,7 @@
 	return out.String()
 }
 
-// describeRejection returns the first reason that rules a worker out for a task.
+// describeRejection returns the first reason for which a worker is rejected for a task.
 func (c *Cell) describeRejection(t *task, w *worker, now cottonlanding.Millis) string {
 	room := c.room(w, now)
 	switch {
--- a/internal/workflow/planner/learnt.go
+++ b/internal/workflow/planner/learnt.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// saveLearntInterval is how often what was learnt is stored. A pair takes some three seconds to learn, so a
-	// successor lacks little.
+	// saveLearntInterval is how often what was learnt is stored. A pair takes some three seconds to learn, so
+	// the next owner lacks little.
 	saveLearntInterval = 3 * cottonlanding.Second
 	// maxLearntBytes bounds the row, in bytes, well below the 64 KiB that the table takes.
 	maxLearntBytes = 32 << 10
-	// minInheritedStandardError is the smallest standard error of a weight from a predecessor: the covariances
+	// minInheritedStandardError is the smallest standard error of a weight from a previous owner: the covariances
 	// between weights aren't stored.
 	minInheritedStandardError = 0.15
 )
 
-// learntRow is the stored form of what an owner has learnt of how images interfere, for its successor and for other
+// learntRow is the stored form of what an owner has learnt of how images interfere, for the next owner and for other
 // cells.
 type learntRow struct {
 	Serving []servingRow
@@ -48,10 +48,10 @@
 }
 
 // row returns what was learnt, in a stable order.
-func (p *interference) row() learntRow {
+func (m *interference) row() learntRow {
 	var out learntRow
-	for image, known := range p.weights {
-		serving := servingRow{Image: image, Base: p.base[image]}
+	for image, known := range m.weights {
+		serving := servingRow{Image: image, Base: m.minTail[image]}
 		for filling, at := range known.index {
 			serving.Pairs = append(serving.Pairs, pairRow{filling, rounded(known.weights[at]), rounded(math.Sqrt(known.doubt[at][at]))})
 		}
@@ -65,8 +65,8 @@
 // rounded rounds to two decimals, which is finer than any standard error.
 func rounded(value float64) float64 { return math.Round(value*100) / 100 }
 
-// restore loads what a predecessor has learnt.
-func (p *interference) restore(row learntRow) {
+// restore loads what a previous owner has learnt.
+func (m *interference) restore(row learntRow) {
 	for _, serving := range row.Serving {
 		known := newWeightEstimate()
 		for _, pair := range serving.Pairs {
@@ -75,14 +75,14 @@
 			doubt := max(pair.StandardError, minInheritedStandardError)
 			known.weights[at], known.doubt[at][at] = pair.Weight, doubt*doubt
 		}
-		p.weights[serving.Image] = known
+		m.weights[serving.Image] = known
 		if serving.Base > 0 {
-			p.base[serving.Image] = serving.Base
+			m.minTail[serving.Image] = serving.Base
 		}
 	}
 }
 
-// LoadLearnt loads the row of a predecessor; without it everything is learnt again. It fails if the row can't be
+// LoadLearnt loads the row of a previous owner; without it everything is learnt again. It fails if the row can't be
 // decoded, and the row is then overwritten.
 func (c *Cell) LoadLearnt(row cottonlanding.Row) error {
 	c.learntVersion = row.Version // also of an unreadable row
--- a/internal/workflow/planner/successor.go
+++ b/internal/workflow/planner/successor.go
@@ -9,7 +9,7 @@
 
 // Only one process at a time has an address. A life that is no longer listed has ended once another one has answered
 // at its address to a poll that was sent after that life's last answer. A list entry of the other life proves nothing:
-// entries of ended lives stay listed for some seconds, also beside and after those of their successors.
+// entries of ended lives stay listed for some seconds, also beside and after those of their replacements.
 
 // endReplacedWorkers ends the runs, and resolves the open lives, of workers that are no longer listed and at whose
 // addresses others answer.
@@ -25,8 +25,8 @@
 	}
 	answering := c.answeringByAddress()
 	for _, w := range gone {
-		if successor := answering[w.info.Address]; successor != nil && successor.lastAnswerPollSentAt > w.lastAnswerAt {
-			c.loseWorker(w, now, lossBySuccessor)
+		if replacement := answering[w.info.Address]; replacement != nil && replacement.lastAnswerPollSentAt > w.lastAnswerAt {
+			c.loseWorker(w, now, lossByReplacement)
 			c.forgetWorker(w.info.ID)
 		}
 	}
@@ -51,9 +51,9 @@
 // isReplaced reports whether another worker has answered at the address of one of which tasks have an open life.
 func (c *Cell) isReplaced(id cottonlanding.WorkerID, answering map[cottonlanding.Address]*worker) bool {
 	w := c.workers[id]
-	successor := answering[c.openLivesByWorker[id].address]
-	if successor == nil || successor.info.ID == id || w != nil && w.listed {
+	replacement := answering[c.openLivesByWorker[id].address]
+	if replacement == nil || replacement.info.ID == id || w != nil && w.listed {
 		return false
 	}
-	return w == nil || successor.lastAnswerPollSentAt > w.lastAnswerAt
+	return w == nil || replacement.lastAnswerPollSentAt > w.lastAnswerAt
 }
