--- a/internal/coordination/holder/export_test.go
+++ b/internal/coordination/holder/export_test.go
@@ -8,5 +8,5 @@
 // RowKeys returns the keys of a cell's beat, owner and request rows.
 func RowKeys(partition cottonlanding.Partition, cell cottonlanding.CellNumber) []any {
 	h := &Holder{deps: Dependencies{Reader: &Reader{partition: partition}}, cell: cell}
-	return []any{h.key(beatRow), h.watched(ownerRow), h.watched(requestRow)}
+	return []any{h.key(beatRow), h.watchedKey(ownerRow), h.watchedKey(requestRow)}
 }
--- a/internal/coordination/holder/fleet_test.go
+++ b/internal/coordination/holder/fleet_test.go
@@ -16,7 +16,7 @@
 )
 
 // fleetTiming is the timing of a deployment in which most processes leave the cells to larger ones.
-var fleetTiming = holder.Timing{TTL: 1200, SlowTTL: 4000, SlowCall: 150, Poll: 300, RestPoll: 600, DelayPerOwned: 250, Timeout: 600, SlowTimeout: 2500,
+var fleetTiming = holder.Timing{TTL: 1200, SlowTTL: 4000, SlowCall: 150, Poll: 300, IdlePoll: 600, DelayPerOwned: 250, Timeout: 600, SlowTimeout: 2500,
 	Jitter: 250, SlowJitter: 2000, SmallShareDelay: 900, SlowSmallShareDelay: 2000, FirstOwnerDelay: 2000, Reclaim: true, RestartGrace: 600}
 
 // counted counts a process's calls of its table and the rows that they return.
--- a/internal/coordination/holder/holder.go
+++ b/internal/coordination/holder/holder.go
@@ -40,10 +40,10 @@
 	// earlyReadDivisor gives the part of a poll by which a read may come before it is due, since
 	// steps don't run on time to the millisecond.
 	earlyReadDivisor = 2
-	// restPollsPerCell is the number of rest polls per cell between two checks of a process that
+	// idlePollsPerCell is the number of rest polls per cell between two checks of a process that
 	// owns no cell. To see that an owner is alive takes two reads of the beats of all cells; with
 	// this interval the rows read per second are the same for one cell and for many.
-	restPollsPerCell = 2
+	idlePollsPerCell = 2
 	// driftMarginDivisor extends the time to live by 1/10 to allow for clock drift.
 	driftMarginDivisor = 10
 	// releaseRetryInterval is the time between two attempts to release a cell.
@@ -101,7 +101,7 @@
 
 	// The fields below are used by the duty's goroutine only.
 
-	beat cottonlanding.Version
+	beatVersion cottonlanding.Version
 	// beatTTL is the time to live given in the last beat row that was read.
 	beatTTL cottonlanding.Millis
 	// beatSince is when the beat row took its present version, as far as this member has seen.
@@ -109,9 +109,9 @@
 	// ownerAliveAt is when the owner was last known to be alive: its beat changed between two
 	// reads, or it has just become the owner.
 	ownerAliveAt cottonlanding.Millis
-	// forwardedFor is the version of the owner row for which a request was forwarded, undecodable
+	// forwardedVersion is the version of the owner row for which a request was forwarded, undecodableVersion
 	// that of an owner row that can't be decoded.
-	forwardedFor, undecodable cottonlanding.Version
+	forwardedVersion, undecodableVersion cottonlanding.Version
 	// ownerRowSince is when the present owner row was first seen.
 	ownerRowSince cottonlanding.Millis
 	// lastReadSentAt and lastReadAt are when the last read that this holder used was sent and
@@ -142,8 +142,8 @@
 		h.step(ctx)
 	})
 	close(initialized)
-	deps.Watcher.Listen(h.watched(ownerRow), h.duty.Nudge)
-	deps.Watcher.Listen(h.watched(requestRow), h.duty.Nudge)
+	deps.Watcher.Listen(h.watchedKey(ownerRow), h.duty.Nudge)
+	deps.Watcher.Listen(h.watchedKey(requestRow), h.duty.Nudge)
 	return h
 }
 
@@ -152,8 +152,8 @@
 	return h.deps.Reader.partition.Key(rowPrefix + h.cell.String() + "/" + row)
 }
 
-// watched returns the key of one of the cell's rows whose changes the table's feed announces.
-func (h *Holder) watched(row string) cottonlanding.Key {
+// watchedKey returns the key of one of the cell's rows whose changes the table's feed announces.
+func (h *Holder) watchedKey(row string) cottonlanding.Key {
 	return h.deps.Reader.partition.Key(cottonlanding.WatchedPrefix + rowPrefix + h.cell.String() + "/" + row)
 }
 
@@ -324,14 +324,14 @@
 	}
 	h.mu.Unlock()
 	id := newTransactionID()
-	version, err := h.write(ctx, id, cottonlanding.Write{Key: h.key(beatRow), Expect: h.beat, Value: h.encodeBeat(ttl, h.deps.Report())})
+	version, err := h.write(ctx, id, cottonlanding.Write{Key: h.key(beatRow), Expect: h.beatVersion, Value: h.encodeBeat(ttl, h.deps.Report())})
 	h.recordCall(h.clock.Now()-sent, err)
 	if errors.Is(err, cottonlanding.ErrAmbiguous) {
 		version, err = h.confirmBeat(ctx, id)
 	}
 	switch {
 	case err == nil:
-		h.beat, h.beatTTL = version, ttl
+		h.beatVersion, h.beatTTL = version, ttl
 		h.mu.Lock()
 		if h.validUntil > 0 {
 			h.validUntil = sent + ttl
--- a/internal/coordination/holder/holder_test.go
+++ b/internal/coordination/holder/holder_test.go
@@ -272,10 +272,10 @@
 	})
 }
 
-// TestLargeMembersGoFirst guards against small members that take the cell although a large one could, at
+// TestLargeMembersTakeOverFirst guards against small members that take the cell although a large one could, at
 // the start, after the loss of the owner and after a release, or that leave it without an owner when
 // there is no large one.
-func TestLargeMembersGoFirst(t *testing.T) {
+func TestLargeMembersTakeOverFirst(t *testing.T) {
 	for draw := range 20 { // the names determine the jitter
 		synctest.Test(t, func(t *testing.T) {
 			clock := cottonlanding.NewClock()
--- a/internal/coordination/holder/member.go
+++ b/internal/coordination/holder/member.go
@@ -60,9 +60,9 @@
 	SlowCall cottonlanding.Millis
 	// Poll is the time between two reads, or between two beats of the owner.
 	Poll cottonlanding.Millis
-	// RestPoll is the time between two reads of a member that leaves the cell to larger
+	// IdlePoll is the time between two reads of a member that leaves the cell to larger
 	// ones, while the owner is alive.
-	RestPoll cottonlanding.Millis
+	IdlePoll cottonlanding.Millis
 	// DelayPerOwned is added to a member's take-over delay for each cell that it owns, so that
 	// members with fewer cells go first.
 	DelayPerOwned cottonlanding.Millis
--- a/internal/coordination/holder/observe.go
+++ b/internal/coordination/holder/observe.go
@@ -12,7 +12,7 @@
 // applyOwnerRow updates the view from the watcher's owner row. It returns false while the watcher has
 // read nothing yet.
 func (h *Holder) applyOwnerRow() bool {
-	row, known := h.deps.Watcher.Row(h.watched(ownerRow))
+	row, known := h.deps.Watcher.Row(h.watchedKey(ownerRow))
 	if !known {
 		return false
 	}
@@ -21,12 +21,12 @@
 		h.ownerRowSince = now // a cell without an owner row counts from here
 	}
 	view := h.View()
-	if row.Version <= view.Version || row.Version == h.undecodable {
+	if row.Version <= view.Version || row.Version == h.undecodableVersion {
 		return true // this member has written a newer row, or can't decode this one
 	}
 	var owner Owner
 	if err := json.Unmarshal(row.Value, &owner); err != nil {
-		h.undecodable = row.Version
+		h.undecodableVersion = row.Version
 		h.log.Error("owner row", "Version", row.Version, "Error", err)
 		return true
 	}
@@ -71,7 +71,7 @@
 	switch {
 	case h.shouldTakeOver(view, now):
 		h.takeOver(ctx, view)
-	case h.ownerHasEnded(view, now):
+	case h.shouldClearOwner(view, now):
 		h.clearOwner(ctx, view)
 	default:
 		h.requestCell(ctx)
@@ -95,21 +95,21 @@
 
 // readInterval returns the time between two reads of this member while the owner is alive.
 func (h *Holder) readInterval() cottonlanding.Millis {
-	rest := max(h.timing.RestPoll, h.timing.Poll)
+	idle := max(h.timing.IdlePoll, h.timing.Poll)
 	cells := h.deps.Cells()
 	switch {
 	case cells == 1 && h.View().Owner.Share <= h.self.Share*similarShare:
 		return h.timing.Poll // this member would be among the first to take over
 	case cells == 1 || h.deps.Owned() > 0:
-		return rest
+		return idle
 	case !h.deps.CellsKnown():
 		return h.timing.Poll // callers wait for the reports of new owners
 	case !h.deps.Watcher.Connected():
-		return rest // the feed doesn't announce a new owner
+		return idle // the feed doesn't announce a new owner
 	}
 	// The interval varies between processes, so that those that started together don't keep reading
 	// at the same time.
-	interval := restPollsPerCell * cottonlanding.Millis(cells) * rest
+	interval := idlePollsPerCell * cottonlanding.Millis(cells) * idle
 	rank := cottonlanding.Millis(xxhash.Sum64String(string(h.self.ID)) % uint64(interval))
 	return (interval + rank) * 2 / 3
 }
@@ -135,17 +135,17 @@
 }
 
 // recordBeat updates for how long the beat row has been unchanged, from one read of it.
-func (h *Holder) recordBeat(beat cottonlanding.Version, read reading) {
+func (h *Holder) recordBeat(beatVersion cottonlanding.Version, read reading) {
 	receivedAt := read.sent + read.took
 	gap, limit := receivedAt-h.lastReadAt, h.maxGap(read.took)
 	h.lastReadAt = receivedAt
 	switch {
-	case beat != h.beat || h.beatSince == 0:
+	case beatVersion != h.beatVersion || h.beatSince == 0:
 		h.retractOwnerEnded(read)
 		if gap <= limit {
 			h.ownerAliveAt = receivedAt
 		}
-		h.beat, h.beatSince = beat, receivedAt
+		h.beatVersion, h.beatSince = beatVersion, receivedAt
 	case gap > limit:
 		h.beatSince += gap - limit
 	}
--- a/internal/coordination/holder/request.go
+++ b/internal/coordination/holder/request.go
@@ -35,7 +35,7 @@
 	if !h.shouldRequest(view, h.clock.Now()) {
 		return
 	}
-	row, _ := h.deps.Watcher.Row(h.watched(requestRow))
+	row, _ := h.deps.Watcher.Row(h.watchedKey(requestRow))
 	if h.decodeRequest(row).OwnerVersion != view.Version {
 		h.writeRequest(ctx, view, row.Version)
 	}
@@ -77,7 +77,7 @@
 // writeRequest writes the request row. If several members write it at once, one succeeds.
 func (h *Holder) writeRequest(ctx context.Context, view View, requestVersion cottonlanding.Version) {
 	write := cottonlanding.Write{
-		Key:    h.watched(requestRow),
+		Key:    h.watchedKey(requestRow),
 		Expect: requestVersion,
 		Value:  encode(Request{Member: h.self, OwnerVersion: view.Version}),
 	}
@@ -89,15 +89,15 @@
 // forwardRequest calls CellRequested for a request of this ownership, once.
 func (h *Holder) forwardRequest() {
 	view := h.View()
-	if h.forwardedFor == view.Version {
+	if h.forwardedVersion == view.Version {
 		return
 	}
-	row, _ := h.deps.Watcher.Row(h.watched(requestRow))
+	row, _ := h.deps.Watcher.Row(h.watchedKey(requestRow))
 	request := h.decodeRequest(row)
 	if request.OwnerVersion != view.Version {
 		return
 	}
-	h.forwardedFor = view.Version
+	h.forwardedVersion = view.Version
 	h.log.Info("cell request received", "By", request.ID, "Share", request.Share)
 	h.deps.CellRequested(request.Member)
 }
--- a/internal/coordination/holder/takeover.go
+++ b/internal/coordination/holder/takeover.go
@@ -54,7 +54,7 @@
 // owner for the remaining time; members with about the given share may take over first.
 func (h *Holder) vacantOwnerWrite(view View, share float64, remaining cottonlanding.Millis) cottonlanding.Write {
 	return cottonlanding.Write{
-		Key:    h.watched(ownerRow),
+		Key:    h.watchedKey(ownerRow),
 		Expect: view.Version,
 		Value:  encode(Owner{Member: Member{Share: share}, Epoch: view.Owner.Epoch, Remaining: remaining}),
 	}
@@ -70,10 +70,10 @@
 		return false
 	case h.namesThisMember(view):
 		return true
-	case !h.mayTakeOverNow(view, now):
+	case !h.takeOverDue(view, now):
 		return false
 	}
-	return h.deps.Watcher.mayTakeOver(now, 2*h.timing.DelayPerOwned)
+	return h.deps.Watcher.claimTakeOver(now, 2*h.timing.DelayPerOwned)
 }
 
 // vacant reports whether the cell has no owner.
@@ -98,17 +98,17 @@
 	return true
 }
 
-// ownerHasEnded reports whether the owner is guaranteed to have ended or its process was reported to
+// shouldClearOwner reports whether the owner is guaranteed to have ended or its process was reported to
 // have, so that the owner row should be cleared. With a single cell all processes read its beat, and
 // the row needn't be cleared.
-func (h *Holder) ownerHasEnded(view View, now cottonlanding.Millis) bool {
-	return !h.isOwner() && h.deps.Cells() > 1 && view.Owner.ID != "" && now >= h.ownerEndsAt(view)
+func (h *Holder) shouldClearOwner(view View, now cottonlanding.Millis) bool {
+	return !h.isOwner() && h.deps.Cells() > 1 && view.Owner.ID != "" && now >= h.actOnEndAt(view)
 }
 
-// ownerEndsAt returns when this member acts on the owner's end if the beat doesn't change any more:
+// actOnEndAt returns when this member acts on the owner's end if the beat doesn't change any more:
 // at the expiry of the ownership, or of the restart grace if the owner's process was reported to have
 // ended, plus this member's part of the jitter.
-func (h *Holder) ownerEndsAt(view View) cottonlanding.Millis {
+func (h *Holder) actOnEndAt(view View) cottonlanding.Millis {
 	end := h.ownershipExpiresAt() + h.jitter(view)
 	endedAt := h.ownerEndedAt(view)
 	switch {
@@ -141,7 +141,7 @@
 	remaining := max(0, h.ownershipExpiresAt()-h.clock.Now())
 	_, err := h.write(ctx, newTransactionID(),
 		h.vacantOwnerWrite(view, view.Owner.Share, remaining),
-		cottonlanding.Write{Key: h.key(beatRow), Expect: h.beat, Value: h.encodeBeat(h.timing.TTL, nil)},
+		cottonlanding.Write{Key: h.key(beatRow), Expect: h.beatVersion, Value: h.encodeBeat(h.timing.TTL, nil)},
 	)
 	h.log.Info("owner is gone", "Owner", view.Owner.ID, "Epoch", view.Owner.Epoch,
 		"BeatAge", h.clock.Now()-h.beatSince, "Remaining", remaining, "Error", errorText(err))
@@ -156,8 +156,8 @@
 	return h.timing.Reclaim && h.self.Address != "" && view.Owner.Address == h.self.Address
 }
 
-// mayTakeOverNow reports whether this member's take-over delay is over.
-func (h *Holder) mayTakeOverNow(view View, now cottonlanding.Millis) bool {
+// takeOverDue reports whether this member's take-over delay is over.
+func (h *Holder) takeOverDue(view View, now cottonlanding.Millis) bool {
 	return now >= h.takeOverDueAt(view)
 }
 
@@ -169,7 +169,7 @@
 	case view.Owner.ID == "":
 		return h.ownerRowSince + h.smallShareDelay(view) + h.jitter(view) + h.ownLoadDelay()
 	}
-	return h.ownerEndsAt(view) + h.smallShareDelay(view) + h.ownLoadDelay()
+	return h.actOnEndAt(view) + h.smallShareDelay(view) + h.ownLoadDelay()
 }
 
 // ownLoadDelay returns the delay due to the cells that this member owns and to its data centre.
@@ -228,8 +228,8 @@
 	owner := Owner{Member: h.self, Epoch: view.Owner.Epoch + 1}
 	id := newTransactionID()
 	version, err := h.write(ctx, id,
-		cottonlanding.Write{Key: h.watched(ownerRow), Expect: view.Version, Value: encode(owner)},
-		cottonlanding.Write{Key: h.key(beatRow), Expect: h.beat, Value: h.encodeBeat(ttl, nil)},
+		cottonlanding.Write{Key: h.watchedKey(ownerRow), Expect: view.Version, Value: encode(owner)},
+		cottonlanding.Write{Key: h.key(beatRow), Expect: h.beatVersion, Value: h.encodeBeat(ttl, nil)},
 	)
 	if errors.Is(err, cottonlanding.ErrAmbiguous) {
 		version, err = h.confirmBeat(ctx, id)
@@ -239,14 +239,14 @@
 	if err != nil {
 		return // the next read shows the owner
 	}
-	previousUntil := h.beatSince + h.beatTTL // the previous owner has written no beat since beatSince
+	beforeUntil := h.beatSince + h.beatTTL // the previous owner has written no beat since beatSince
 	if view.Owner.ID == "" {
-		previousUntil = max(sent, h.ownerRowSince+view.Owner.Remaining) // released, cleared, or never owned
+		beforeUntil = max(sent, h.ownerRowSince+view.Owner.Remaining) // released, cleared, or never owned
 	}
-	h.beat, h.beatTTL, h.beatSince = version, ttl, h.clock.Now()
+	h.beatVersion, h.beatTTL, h.beatSince = version, ttl, h.clock.Now()
 	h.ownerRowSince = h.beatSince
 	h.mu.Lock()
-	h.view = View{Owner: owner, Version: version, Read: h.clock.Now(), BeforeUntil: previousUntil}
+	h.view = View{Owner: owner, Version: version, Read: h.clock.Now(), BeforeUntil: beforeUntil}
 	h.validUntil = sent + ttl
 	view = h.view
 	h.mu.Unlock()
--- a/internal/coordination/holder/watcher.go
+++ b/internal/coordination/holder/watcher.go
@@ -183,10 +183,10 @@
 	return r.slow
 }
 
-// mayTakeOver reports whether a holder of this process may take a cell now, and if so records it.
+// claimTakeOver reports whether a holder of this process may take a cell now, and if so records it.
 // Take-overs of one process are at least gap apart, so that each holder counts the cells that the
 // others have taken, and other processes get a turn.
-func (r *Watcher) mayTakeOver(now, gap cottonlanding.Millis) bool {
+func (r *Watcher) claimTakeOver(now, gap cottonlanding.Millis) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.lastTakeOverAt > 0 && now-r.lastTakeOverAt < gap {
--- a/internal/coordination/observer/tracker_test.go
+++ b/internal/coordination/observer/tracker_test.go
@@ -33,11 +33,11 @@
 	return cottonlanding.Row{Key: registrar.SessionKey(id), Version: version, Value: value}
 }
 
-// TestSessionOutlastsHoldersValidity guards against an observer that counts a
+// TestObserverEndsSessionAfterRegistrar guards against an observer that counts a
 // session as ended while its holder still counts it as valid. The holder counts
 // from before it sent its last successful renewal; the observer's reads fail,
 // lag and pause.
-func TestSessionOutlastsHoldersValidity(t *testing.T) {
+func TestObserverEndsSessionAfterRegistrar(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := observer.NewSessionTracker(ttl, 3*poll)
 		now := cottonlanding.Millis(1)
--- a/internal/policy/blamer/blamer.go
+++ b/internal/policy/blamer/blamer.go
@@ -16,9 +16,9 @@
 	"fair":  func() cottonlanding.BlamePolicy { return Fair{} },
 }
 
-// maxLosses is the number of losses for which Count gives a task up. The limit for all policies would
+// countLimit is the number of losses for which Count gives a task up. The limit for all policies would
 // allow two more.
-const maxLosses = 3
+const countLimit = 3
 
 // Count gives up each task under which three workers have crashed. It is the baseline.
 type Count struct{}
@@ -28,7 +28,7 @@
 
 // GivesUp implements cottonlanding.BlamePolicy.
 func (Count) GivesUp(suspect cottonlanding.SuspectView) bool {
-	return suspect.Record.Losses >= maxLosses
+	return suspect.Record.Losses >= countLimit
 }
 
 // Isolates implements cottonlanding.BlamePolicy.
--- a/internal/policy/cataloger/catalog_test.go
+++ b/internal/policy/cataloger/catalog_test.go
@@ -8,7 +8,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-func TestCatalog(t *testing.T) {
+func TestCatalogFindsByName(t *testing.T) {
 	catalog := cataloger.Catalog[int]{"two": func() int { return 2 }, "one": func() int { return 1 }}
 	one, found := catalog.Get("one")
 	require.True(t, found)
--- a/internal/policy/selector/selector.go
+++ b/internal/policy/selector/selector.go
@@ -52,8 +52,8 @@
 	"silence": func() bool { return false },
 }
 
-// silenceVariants are the variants of what is watched for silence: data centres, or workers alone.
-var silenceVariants = cataloger.Catalog[bool]{
+// timeoutScopeVariants are the variants of what is watched for silence: data centres, or workers alone.
+var timeoutScopeVariants = cataloger.Catalog[bool]{
 	"place":  func() bool { return true },
 	"worker": func() bool { return false },
 }
@@ -84,7 +84,7 @@
 			Blame:                choose(s, "Blame", blamer.Catalog, blamer.Fallback)(),
 			Delegation:           choose(s, "Delegation", delegator.Catalog, delegator.Fallback)(),
 			KeepsInOneDataCentre: choose(s, "Together", colocationVariants, "datacentre")(),
-			WatchesDataCentres:   choose(s, "Silence", silenceVariants, "place")(),
+			WatchesDataCentres:   choose(s, "Silence", timeoutScopeVariants, "place")(),
 		},
 		Referral:      choose(s, "Referral", referrer.Catalog, referrer.Fallback)(),
 		Reclaim:       choose(s, "TakeOver", takeOverVariants, "reclaim")(),
--- a/internal/policy/selector/selector_test.go
+++ b/internal/policy/selector/selector_test.go
@@ -23,8 +23,8 @@
 	require.True(t, selector.Default().Reclaim)
 }
 
-// TestUnknownNames guards against misspelt names in the settings that are ignored.
-func TestUnknownNames(t *testing.T) {
+// TestUnknownNamesAreRejected guards against misspelt names in the settings that are ignored.
+func TestUnknownNamesAreRejected(t *testing.T) {
 	_, err := selector.New(selector.Names{"Mixing": "never", "Colour": "red"})
 	require.ErrorContains(t, err, `Mixing: "never" is none of anywhere, leastlost`)
 	require.ErrorContains(t, err, "Colour: no such decision; there are ShortPlacement")
--- a/internal/workflow/gateway/timing.go
+++ b/internal/workflow/gateway/timing.go
@@ -66,7 +66,7 @@
 		SlowTTL:             slowHolderTTL,
 		SlowCall:            slowCall,
 		Poll:                holderPoll,
-		RestPoll:            holderRestPoll,
+		IdlePoll:            holderRestPoll,
 		DelayPerOwned:       holderDelayPerOwned,
 		Remote:              holderRemoteDelay,
 		Timeout:             holderTimeout,
--- a/internal/workflow/gateway/timing_test.go
+++ b/internal/workflow/gateway/timing_test.go
@@ -23,7 +23,7 @@
 	require.GreaterOrEqual(t, timing.SlowSmallShareDelay, timing.SlowJitter)
 	require.Greater(t, timing.SmallShareDelay, timing.Remote+timing.DelayPerOwned+timing.Jitter, "a large host of another data centre with a cell goes before a small one")
 	require.GreaterOrEqual(t, timing.DelayPerOwned, timing.Jitter, "hosts without a cell go first")
-	require.Less(t, timing.RestPoll+timing.Timeout, 2*cottonlanding.Second, "a host that rests stays ready")
+	require.Less(t, timing.IdlePoll+timing.Timeout, 2*cottonlanding.Second, "a host that rests stays ready")
 	require.Greater(t, timing.FirstOwnerDelay, timing.Jitter)
 	planner := gateway.PlannerTiming(30*cottonlanding.Second, 900, cottonlanding.Minute)
 	require.LessOrEqual(t, planner.Lease+planner.CutOffGrace, 8*cottonlanding.Second)
--- a/suspension.go
+++ b/suspension.go
@@ -23,8 +23,8 @@
 // suspension holds by how much the clock is ahead of the monotonic one, and by how much the time of
 // day was when that was determined.
 type suspension struct {
-	suspended time.Duration
-	step      time.Duration
+	suspended  time.Duration
+	wallOffset time.Duration
 }
 
 // newSuspensionClock is NewHostClock on the given clocks. Reading the time since boot takes a system
@@ -45,9 +45,9 @@
 	return Clock{now: func() Millis {
 		wall, monotonic := read()
 		known := last.Load()
-		if step := wall - monotonic; max(step-known.step, known.step-step) > stepTolerance {
+		if wallOffset := wall - monotonic; max(wallOffset-known.wallOffset, known.wallOffset-wallOffset) > stepTolerance {
 			if boot, ok := sinceBoot(); ok {
-				known = &suspension{suspended: max(boot-bootOffset-monotonic, known.suspended), step: step}
+				known = &suspension{suspended: max(boot-bootOffset-monotonic, known.suspended), wallOffset: wallOffset}
 				last.Store(known)
 			}
 		}
