--- a/blame.go
+++ b/blame.go
@@ -1,6 +1,7 @@
 package cottonlanding
 
-// CrashRecord counts the losses of workers that are held against a task.
+// CrashRecord counts the losses of workers that are held against a task of a workflow. Task.Lost is the
+// count for jobs, by another rule.
 type CrashRecord struct {
 	// Losses counts the lives of workers whose end the task may have caused.
 	Losses int
@@ -27,9 +28,9 @@
 	Outlived bool
 	// StandsOut says that the run is one of the few that had just begun, or the only recent one.
 	StandsOut bool
-	// Unstable says that the worker has ended recently without the task or, as far as this owner
-	// knows, may have; or that it did so with the task, since the end of one worker twice doesn't
-	// prove anything.
+	// Unstable says that the worker itself may be faulty: an earlier life of it ended recently although
+	// no run had just begun, or may have as far as this owner knows, or the task was a suspect of the
+	// end of the life before as well. Two ends of one worker prove nothing against a task.
 	Unstable bool
 	// Young says that the life had lasted only for a short time.
 	Young bool
--- a/errors.go
+++ b/errors.go
@@ -21,7 +21,8 @@
 	ErrStaleEpoch = errors.New("stale epoch")
 	// ErrRefused reports a command that a worker will never carry out.
 	ErrRefused = errors.New("refused by the worker")
-	// ErrCannotRun reports a job that fits no worker of the cell.
+	// ErrCannotRun reports a job that fits no worker of the cell or exceeds its account's quota, or a
+	// workflow that is inconsistent.
 	ErrCannotRun = errors.New("fits no worker")
 	// ErrBusy reports that a bounded queue is full.
 	ErrBusy = errors.New("queue full")
--- a/hostlist.go
+++ b/hostlist.go
@@ -33,8 +33,8 @@
 // Life returns the listed life.
 func (w WorkerInfo) Life() Life { return Life{w.ID, w.Born} }
 
-// WorkerAttributes holds what the list says of a worker other than that it is alive. Values can be
-// compared with ==.
+// WorkerAttributes holds what the list says of a worker other than its id and that it is alive. The
+// rack is among the labels. Values can be compared with ==.
 type WorkerAttributes struct {
 	born       Birth
 	address    Address
@@ -45,7 +45,7 @@
 	labels     string
 }
 
-// Attributes returns what the list says of the worker other than that it is alive.
+// Attributes returns what the list says of the worker other than its id and that it is alive.
 func (w WorkerInfo) Attributes() WorkerAttributes {
 	return WorkerAttributes{
 		born:       w.Born,
--- a/ids.go
+++ b/ids.go
@@ -24,21 +24,22 @@
 	ExecutorID string
 	// SessionID identifies one life of the daemon of an entry host.
 	SessionID string
-	// CellID identifies a group of racks that is scheduled as one, "<data centre>/<number>".
+	// CellID identifies a cell of jobs, "<data centre>/<number>": a group of racks that is scheduled as
+	// one.
 	CellID string
 	// CellNumber numbers the cells in which a deployment runs its workflows, from zero.
 	CellNumber int
-	// Incarnation identifies one life of a worker; it changes with each restart.
+	// Incarnation identifies one life of a worker to the scheduler of jobs; it changes with each restart.
 	Incarnation string
-	// Birth distinguishes the lives of one worker. It is the start of a life by the worker's own
-	// clock, in milliseconds since 1970. That clock may jump, so the smaller of two births need not be
-	// the earlier one. Zero is unknown.
+	// Birth distinguishes the lives of one worker for the scheduler of workflows. It is the start of a
+	// life by the worker's own clock, in milliseconds since 1970. That clock may jump, so the smaller of
+	// two births need not be the earlier one. Zero is unknown.
 	Birth int64
 	// Epoch counts the owners of a cell; a higher one supersedes all lower ones.
 	Epoch uint64
 	// Generation counts accepted configurations.
 	Generation uint64
-	// Attempt counts the runs of one task, from 1.
+	// Attempt counts the runs of one task of a job, from 1.
 	Attempt uint32
 	// Address is an IP address with a port.
 	Address string
--- a/internal/coordination/holder/holder.go
+++ b/internal/coordination/holder/holder.go
@@ -1,5 +1,6 @@
 // Package holder elects one of many processes as the owner of a cell and tells all of them which
-// one it is. Each process has a Holder per cell.
+// one it is. Each process has a Holder per cell. It serves the cells of workflows; the cells of jobs
+// use the packages registrar, observer and seizer.
 //
 // The election uses two rows of a partition that several cells share. The owner row names the
 // owner and its epoch, which fences everything that the owner does; all processes receive its
@@ -10,7 +11,8 @@
 // With a single cell every process reads its beat. With many cells owners read each other's beats
 // and the other processes read seldom, so that the number of reads doesn't grow with processes
 // times cells. A process that finds an owner dead clears the owner row, which the feed announces
-// to all, and the process with the most spare capacity takes the cell.
+// to all. Processes with a large share (Member.Share), few cells and the cell's workers in their own
+// data centre are the first to take the cell.
 package holder
 
 import (
@@ -40,7 +42,7 @@
 	// earlyReadDivisor gives the part of a poll by which a read may come before it is due, since
 	// steps don't run on time to the millisecond.
 	earlyReadDivisor = 2
-	// idlePollsPerCell is the number of rest polls per cell between two checks of a process that
+	// idlePollsPerCell is the number of idle polls per cell between two checks of a process that
 	// owns no cell. To see that an owner is alive takes two reads of the beats of all cells; with
 	// this interval the rows read per second are the same for one cell and for many.
 	idlePollsPerCell = 2
@@ -60,7 +62,7 @@
 	Log     *slog.Logger
 	// Changed is called on every change of owner, from a single goroutine.
 	Changed func(View)
-	// CellRequested is called from the same goroutine when a member with more spare capacity
+	// CellRequested is called from the same goroutine when a member with much more share per cell
 	// requests the cell from this owner, which should then call ReleaseTo.
 	CellRequested func(Member)
 	// Owned returns the number of cells that this process owns, OwnedBy the number that a given
@@ -101,6 +103,7 @@
 
 	// The fields below are used by the duty's goroutine only.
 
+	// beatVersion is the version of the beat row that was last read or written.
 	beatVersion cottonlanding.Version
 	// beatTTL is the time to live given in the last beat row that was read.
 	beatTTL cottonlanding.Millis
@@ -109,8 +112,8 @@
 	// ownerAliveAt is when the owner was last known to be alive: its beat changed between two
 	// reads, or it has just become the owner.
 	ownerAliveAt cottonlanding.Millis
-	// forwardedVersion is the version of the owner row for which a request was forwarded, undecodableVersion
-	// that of an owner row that can't be decoded.
+	// forwardedVersion is the version of the owner row for which a request was forwarded,
+	// undecodableVersion that of an owner row that can't be decoded.
 	forwardedVersion, undecodableVersion cottonlanding.Version
 	// ownerRowSince is when the present owner row was first seen.
 	ownerRowSince cottonlanding.Millis
--- a/internal/coordination/holder/member.go
+++ b/internal/coordination/holder/member.go
@@ -61,7 +61,7 @@
 	// Poll is the time between two reads, or between two beats of the owner.
 	Poll cottonlanding.Millis
 	// IdlePoll is the time between two reads of a member that leaves the cell to larger
-	// ones, while the owner is alive.
+	// ones or owns other cells, while the owner is alive.
 	IdlePoll cottonlanding.Millis
 	// DelayPerOwned is added to a member's take-over delay for each cell that it owns, so that
 	// members with fewer cells go first.
--- a/internal/coordination/holder/observe.go
+++ b/internal/coordination/holder/observe.go
@@ -108,7 +108,7 @@
 		return idle // the feed doesn't announce a new owner
 	}
 	// The interval varies between processes, so that those that started together don't keep reading
-	// at the same time.
+	// at the same time. It is from 2/3 to 4/3 of the usual one, which stays the mean.
 	interval := idlePollsPerCell * cottonlanding.Millis(cells) * idle
 	rank := cottonlanding.Millis(xxhash.Sum64String(string(h.self.ID)) % uint64(interval))
 	return (interval + rank) * 2 / 3
--- a/internal/coordination/holder/reclaim_test.go
+++ b/internal/coordination/holder/reclaim_test.go
@@ -12,8 +12,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/platform/keeper"
 )
 
-// TestRestartedOwnerReclaims checks that an owner that was killed and restarted takes the cell back
-// within two polls, and only from an owner at its own address; others wait for the last beat to expire.
+// TestRestartedOwnerReclaims guards against an owner that was killed and restarted and takes the cell
+// back only when its last beat has expired instead of within two polls, and against members at other
+// addresses that don't wait for that.
 func TestRestartedOwnerReclaims(t *testing.T) {
 	for _, reclaim := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/coordination/holder/request.go
+++ b/internal/coordination/holder/request.go
@@ -8,7 +8,7 @@
 )
 
 // A small member becomes the owner when no large one can reach the table, and a large one may end
-// up with many cells. A member with more spare capacity then requests the cell with a row that the
+// up with many cells. A member with much more share per cell then requests the cell with a row that the
 // owner reads, so that cells don't stay on overloaded members.
 
 const (
--- a/internal/coordination/holder/takeover.go
+++ b/internal/coordination/holder/takeover.go
@@ -22,7 +22,7 @@
 	return h.release(ctx, h.View().Owner.Share)
 }
 
-// ReleaseTo gives up the cell in favour of a member with more spare capacity. Unlike after Release,
+// ReleaseTo gives up the cell in favour of a member with much more share per cell. Unlike after Release,
 // this member may take the cell again.
 func (h *Holder) ReleaseTo(ctx context.Context, to Member) error {
 	return h.release(ctx, to.Share)
@@ -73,6 +73,8 @@
 	case !h.takeOverDue(view, now):
 		return false
 	}
+	// A member with one cell more is due one delay later, so two delays give it its turn before this
+	// member takes another cell.
 	return h.deps.Watcher.claimTakeOver(now, 2*h.timing.DelayPerOwned)
 }
 
@@ -105,7 +107,7 @@
 	return !h.isOwner() && h.deps.Cells() > 1 && view.Owner.ID != "" && now >= h.actOnEndAt(view)
 }
 
-// actOnEndAt returns when this member acts on the owner's end if the beat doesn't change any more:
+// actOnEndAt returns when this member clears the row or takes over if the beat doesn't change any more:
 // at the expiry of the ownership, or of the restart grace if the owner's process was reported to have
 // ended, plus this member's part of the jitter.
 func (h *Holder) actOnEndAt(view View) cottonlanding.Millis {
--- a/internal/coordination/holder/watcher.go
+++ b/internal/coordination/holder/watcher.go
@@ -18,12 +18,14 @@
 	// dead.
 	feedMargin = 600 * cottonlanding.Millis(1)
 	// slowFeedWait and slowFeedMargin replace them for a slow table, which takes longer for each
-	// call.
+	// call. The shorter wait leaves more of contactTimeout for the call itself.
 	slowFeedWait   = 300 * cottonlanding.Millis(1)
 	slowFeedMargin = 2500 * cottonlanding.Millis(1)
 	// feedRetryInterval is the time between a failed call and the next one.
 	feedRetryInterval = 200 * cottonlanding.Millis(1)
-	// contactTimeout is the longest time between two answers of the table while it is reachable.
+	// contactTimeout is how long after its last answer the feed counts as disconnected: the longest
+	// call while the table isn't slow, and the interval to the next one. A call of a slow table that
+	// takes longer counts as a lost connection until it is answered.
 	contactTimeout = feedWait + feedMargin + feedRetryInterval
 )
 
@@ -183,7 +185,8 @@
 	return r.slow
 }
 
-// claimTakeOver reports whether a holder of this process may take a cell now, and if so records it.
+// claimTakeOver reports whether a holder of this process may take a cell now, and if so records that it
+// does.
 // Take-overs of one process are at least gap apart, so that each holder counts the cells that the
 // others have taken, and other processes get a turn.
 func (r *Watcher) claimTakeOver(now, gap cottonlanding.Millis) bool {
--- a/internal/coordination/observer/tracker_test.go
+++ b/internal/coordination/observer/tracker_test.go
@@ -34,9 +34,9 @@
 }
 
 // TestObserverEndsSessionAfterRegistrar guards against an observer that counts a
-// session as ended while its holder still counts it as valid. The holder counts
-// from before it sent its last successful renewal; the observer's reads fail,
-// lag and pause.
+// session as ended while its registrar still counts it as valid. The registrar
+// counts from before it sent its last successful renewal; the observer's reads
+// are delayed and pause.
 func TestObserverEndsSessionAfterRegistrar(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := observer.NewSessionTracker(ttl, 3*poll)
@@ -60,7 +60,7 @@
 				require.NoError(t, tracker.Observe([]cottonlanding.Row{row}, sent, now))
 				_, after := tracker.Ended()["holder"]
 				if after && !before {
-					require.GreaterOrEqual(t, now, validUntil, "ended while still valid for its holder")
+					require.GreaterOrEqual(t, now, validUntil, "ended while still valid for its registrar")
 				}
 			},
 		})
--- a/internal/coordination/seizer/seizer.go
+++ b/internal/coordination/seizer/seizer.go
@@ -1,5 +1,8 @@
 // Package seizer changes the owner of a cell. Each owner has a higher epoch than
 // all owners before it, and the version of the owner row guards all its writes.
+//
+// It serves the cells of jobs, together with the packages registrar and observer;
+// the cells of workflows use the package holder.
 package seizer
 
 import (
--- a/internal/policy/blamer/blamer.go
+++ b/internal/policy/blamer/blamer.go
@@ -16,8 +16,8 @@
 	"fair":  func() cottonlanding.BlamePolicy { return Fair{} },
 }
 
-// countLimit is the number of losses for which Count gives a task up. The limit for all policies would
-// allow two more.
+// countLimit is the number of losses for which Count gives a task up. Under every policy, the planner
+// gives a task up after its own, larger limit (planner.maxLosses) as well.
 const countLimit = 3
 
 // Count gives up each task under which three workers have crashed. It is the baseline.
--- a/internal/policy/blamer/isolation.go
+++ b/internal/policy/blamer/isolation.go
@@ -10,11 +10,11 @@
 	// lateCrashLimit applies instead if the task had not just started, as in crashes without a faulty
 	// task, or if other workers were lost at the same time.
 	lateCrashLimit = 3
-	// massFailureDivisor sets the part of the workers, as a divisor: if more of them stop answering at
-	// the same time, a common fault may have hit any of them.
+	// massFailureDivisor sets when a common cause is possible, and lateCrashLimit applies: if more than
+	// 1/massFailureDivisor of the other workers stop answering at the same time.
 	massFailureDivisor = 4
 	// isolationLosses is the number of losses for which a task is isolated even if none was a likely
-	// crash: few more are allowed.
+	// crash, since the planner gives a task up after five losses.
 	isolationLosses = 2
 )
 
--- a/internal/policy/cataloger/catalog_test.go
+++ b/internal/policy/cataloger/catalog_test.go
@@ -8,6 +8,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
+// TestCatalogFindsByName guards against names that get another variant than their own, or get one
+// although they are unknown.
 func TestCatalogFindsByName(t *testing.T) {
 	catalog := cataloger.Catalog[int]{"two": func() int { return 2 }, "one": func() int { return 1 }}
 	one, found := catalog.Get("one")
--- a/internal/policy/evictor/evictor.go
+++ b/internal/policy/evictor/evictor.go
@@ -6,7 +6,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the variant that is used when operators name none.
+// Fallback is the eviction policy of jobs when Policies.Eviction of the configuration is empty.
 const Fallback = "leastlost"
 
 // Catalog holds the variants.
--- a/internal/policy/mixer/mixer.go
+++ b/internal/policy/mixer/mixer.go
@@ -1,5 +1,5 @@
 // Package mixer holds the policies that pick the workers on which serving tasks of several images are
-// combined.
+// mixed.
 package mixer
 
 import (
@@ -28,11 +28,11 @@
 	return all
 }
 
-// LeastLost picks the workers on which the fewest filling images cease to be tolerated. It is made for
-// serving tasks that fill the workers: each image tolerates some filling images, two together only
-// those that both tolerate, so that a worker with two images is of little use for filling tasks. Where
-// images have to be mixed, it picks workers that are mixed already, or images that tolerate the same
-// ones.
+// LeastLost picks the workers on which the fewest filling images cease to be tolerated. A serving image
+// tolerates a filling one that hardly disturbs it (cottonlanding.LightWeight), and a worker tolerates
+// what all its serving images tolerate. LeastLost is made for serving tasks that fill the workers: one
+// with two images tolerates few filling images and is of little use for filling tasks. Where images have
+// to be mixed, it picks workers that are mixed already, or images that tolerate the same ones.
 type LeastLost struct{}
 
 // Narrow implements cottonlanding.MixingPolicy.
--- a/internal/policy/orderer/fifo.go
+++ b/internal/policy/orderer/fifo.go
@@ -10,7 +10,7 @@
 // FIFO places the task first that has waited longest. It is the baseline.
 type FIFO struct{}
 
-// Order implements cottonlanding.AdmissionOrder.
+// Order implements cottonlanding.AdmissionPolicy.
 func (FIFO) Order(queued []cottonlanding.TaskView, _ []cottonlanding.TeamUsage) {
 	slices.SortFunc(queued, compareQueued)
 }
--- a/internal/policy/orderer/leastshare.go
+++ b/internal/policy/orderer/leastshare.go
@@ -11,7 +11,7 @@
 // including the team's tasks that come earlier in the order.
 type LeastShare struct{}
 
-// Order implements cottonlanding.AdmissionOrder.
+// Order implements cottonlanding.AdmissionPolicy.
 func (LeastShare) Order(queued []cottonlanding.TaskView, teams []cottonlanding.TeamUsage) {
 	slices.SortFunc(queued, compareQueued)
 	shares := make(map[cottonlanding.Team]float64, len(teams))
--- a/internal/policy/orderer/orderer.go
+++ b/internal/policy/orderer/orderer.go
@@ -6,7 +6,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the variant that is used when operators name none.
+// Fallback is the admission policy of jobs when Policies.Admission of the configuration is empty.
 const Fallback = "fifo"
 
 // Catalog holds the variants.
--- a/internal/policy/placer/pack.go
+++ b/internal/policy/placer/pack.go
@@ -2,10 +2,10 @@
 
 import "github.com/cottonlanding/cottonlanding"
 
-// Pack picks the worker with the smallest share of free processors, counting the task's own as free
-// once more: large workers go before small ones with as little room. It is made for workers that
-// lasting tasks almost fill, with little room on each: spread short tasks take the largest of it, and
-// none is left for a large task. Best fit by what would be left does less well (docs/EXPERIMENTS.md).
+// Pack picks the worker with the smallest (free + task) / capacity, in processors. Adding the task's
+// processors prefers the larger of two workers with the same share of free ones. Pack is made for
+// workers that lasting tasks almost fill: short tasks that are spread would use up the largest gaps and
+// leave none for a large task. Best fit by what would be left does less well (docs/EXPERIMENTS.md).
 type Pack struct{}
 
 // Place implements cottonlanding.PlacementPolicy.
--- a/internal/policy/placer/placer.go
+++ b/internal/policy/placer/placer.go
@@ -6,7 +6,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-// Fallback is the variant that is used when operators name none.
+// Fallback is the placement policy of jobs when Policies.Placement of the configuration is empty. Package
+// selector has its own defaults for workflows.
 const Fallback = "spread"
 
 // Catalog holds the variants.
--- a/internal/policy/ranker/ranker.go
+++ b/internal/policy/ranker/ranker.go
@@ -31,7 +31,7 @@
 )
 
 // expiredFactor times its objective is the longest time after which a workflow is of any use: users
-// count nothing that takes longer.
+// state that a later result is worthless to them.
 const expiredFactor = 3
 
 func classOf(view cottonlanding.RankView) int {
--- a/internal/policy/referrer/byimage.go
+++ b/internal/policy/referrer/byimage.go
@@ -10,15 +10,16 @@
 )
 
 // minFree is the fraction of a cell's processors that serving workflows leave free as long as another
-// cell has as much. Short tasks use a tenth; and where serving tasks hold more than four fifths, most
-// workers get several images: 0 to 57 of 220 at 63 to 80 %, 150 at 92 %.
+// cell has as much. Short tasks need about a tenth, and where serving tasks hold more than four fifths
+// of the processors, many workers have to run several images, of which few filling images are
+// tolerated: at most 57 of 220 workers at 63 to 80 % held, 150 at 92 %.
 const minFree = 0.22
 
 // ByImage gathers the serving workflows of one image in one cell while that has room, and refers all
-// others by room. It is made for sixteen serving images whose tasks fill four fifths of the workers,
-// beside thirty filling ones: in a cell with all sixteen, bounds on the tasks of a worker mix them on
-// its workers, of which few then tolerate a filling image, and the cell has 480 pairs to learn; a cell
-// with three of them has a hundred.
+// others by room. It is made for many serving images whose tasks fill four fifths of the workers. In a
+// cell with all of them, bounds on the tasks per worker mix them on its workers, and a worker with
+// several images tolerates few filling ones. Each pair of a serving and a filling image has to be learnt
+// as well: with thirty filling images these are 480 for sixteen serving ones, and 90 for three.
 type ByImage struct {
 	others ByRoom
 }
--- a/internal/policy/selector/selector.go
+++ b/internal/policy/selector/selector.go
@@ -1,4 +1,5 @@
-// Package selector turns the names of policies in a host's settings into policies.
+// Package selector turns the names of the workflow scheduler's policies in a host's settings into
+// policies. The names of the policies of jobs are in cottonlanding.Policies.
 package selector
 
 import (
@@ -52,7 +53,8 @@
 	"silence": func() bool { return false },
 }
 
-// timeoutScopeVariants are the variants of what is watched for silence: data centres, or workers alone.
+// timeoutScopeVariants are the variants of where nothing is started once workers have stopped answering:
+// in the whole data centre if its workers did so together, or on these workers alone.
 var timeoutScopeVariants = cataloger.Catalog[bool]{
 	"place":  func() bool { return true },
 	"worker": func() bool { return false },
@@ -70,7 +72,9 @@
 	"table": func() bool { return false },
 }
 
-// New returns the policies with the given names. The error reports all unknown names.
+// New returns the policies with the given names. The error reports all unknown names. The decision
+// Together sets KeepsInOneDataCentre, Silence sets WatchesDataCentres, TakeOver sets Reclaim and News
+// sets UsesTableCopy.
 func New(names Names) (Set, error) {
 	s := &selection{names: names}
 	set := Set{
--- a/internal/policy/selector/selector_test.go
+++ b/internal/policy/selector/selector_test.go
@@ -23,7 +23,7 @@
 	require.True(t, selector.Default().Reclaim)
 }
 
-// TestUnknownNamesAreRejected guards against misspelt names in the settings that are ignored.
+// TestUnknownNamesAreRejected guards against misspelt names in the settings being ignored.
 func TestUnknownNamesAreRejected(t *testing.T) {
 	_, err := selector.New(selector.Names{"Mixing": "never", "Colour": "red"})
 	require.ErrorContains(t, err, `Mixing: "never" is none of anywhere, leastlost`)
--- a/internal/policy/weigher/weigher.go
+++ b/internal/policy/weigher/weigher.go
@@ -1,5 +1,5 @@
-// Package weigher holds the policies that decide how much interference of a filling image with a
-// serving one is assumed.
+// Package weigher holds the policies that decide how much a filling image is assumed to disturb a
+// serving one.
 package weigher
 
 import (
--- a/internal/workflow/partitioner/layout.go
+++ b/internal/workflow/partitioner/layout.go
@@ -1,12 +1,17 @@
 // Package partitioner divides the workers and the workflows of a deployment among cells, each of which
 // is scheduled by one host.
 //
-// Decisions for one cell consider all its workers for each task, and all its orders, polls and commits
-// go over one host's link: a thousand workers and thousands of starts a second exceed both. A cell has
-// whole racks, and of each data centre as many as any other cell: when 66 of 220 workers of one data
-// centre were removed, a cell with only those workers had no room for a quarter of its lasting tasks,
-// while other cells had; divided among all cells, each loses six in a hundred. Each workflow has a
-// home cell, which follows from its id.
+// A host considers all workers of a cell for each task, and sends all the cell's orders, polls and
+// commits over its own link. Neither its processors nor its link suffice for a thousand workers and
+// thousands of starts a second.
+//
+// A cell has whole racks, and about as many of each data centre as any other cell, so that the loss of
+// part of a data centre costs each cell a small part of its workers instead of one cell most of them.
+// When 66 of 220 workers of one data centre are removed, a cell with only those 220 has no room for a
+// quarter of its lasting tasks, while other cells have; divided among all cells, each loses six in a
+// hundred.
+//
+// Each workflow has a home cell, which follows from its id.
 package partitioner
 
 import (
--- a/job.go
+++ b/job.go
@@ -76,8 +76,8 @@
 	Checkpoint  ObjectName
 	// FailedOn lists the worker of each failed attempt.
 	FailedOn []WorkerID
-	// Lost counts the lives of workers that ended soon after the task began there, since its last long
-	// run.
+	// Lost counts the lives of workers that ended before the task's run there was Outlived. A run of
+	// ten seconds resets it. CrashRecord is the count for workflows.
 	Lost int `json:",omitempty"`
 	// Outlived says that the current run has lasted for longer than a task takes that crashes its
 	// worker.
--- a/policy.go
+++ b/policy.go
@@ -61,7 +61,7 @@
 // weights of 0.1 to 0.3, or of 1 to 4.
 const LightWeight = 0.5
 
-// PairView describes how much a filling image interferes with a serving one, as far as is known.
+// PairView describes how much a filling image disturbs a serving one, as far as is known.
 type PairView struct {
 	// Weight is by how much a filling task that uses a whole worker increases the utilization of the
 	// serving task.
@@ -70,8 +70,8 @@
 	StandardError float64
 }
 
-// DisturbancePolicy decides which interference is assumed for pairs of images of which little is
-// known.
+// DisturbancePolicy decides how much a filling image is assumed to disturb a serving one while little is
+// known of the pair.
 type DisturbancePolicy interface {
 	// Weight returns the weight to plan with. It is never negative.
 	Weight(pair PairView) float64
@@ -80,14 +80,15 @@
 	Untried(pair PairView) bool
 }
 
-// MixView describes a worker that a serving task of another image may join.
+// MixView describes a worker with serving tasks on which one of another image may be placed. A worker
+// tolerates the filling images that hardly disturb its serving tasks (LightWeight).
 type MixView struct {
-	// Tolerated counts the filling images that hardly disturb the serving tasks on the worker,
-	// ToleratedAfter those of them that would not disturb the new task either.
+	// Tolerated counts the filling images that the worker tolerates, ToleratedAfter those that it would
+	// tolerate with the new task.
 	Tolerated, ToleratedAfter int
 }
 
-// MixingPolicy picks the workers on which serving tasks of several images may be combined.
+// MixingPolicy picks the workers on which serving tasks of several images may be mixed.
 type MixingPolicy interface {
 	// Narrow returns the indices of the workers to choose from, at least one.
 	Narrow(workers []MixView) []int
--- a/run.go
+++ b/run.go
@@ -25,7 +25,8 @@
 	Epoch      Epoch
 	// Checkpoint is where the run continues.
 	Checkpoint Checkpoint
-	// Ticket proves that an advisor allows this worker; empty if no advisor is asked.
+	// Ticket is the permission of an external placement advisor to run on this worker, which is sent
+	// with the order; empty if no advisor is asked. The scheduler asks none.
 	Ticket string
 }
 
@@ -44,7 +45,7 @@
 type RunProgress struct {
 	RunKey
 	Checkpoint Checkpoint
-	// Percent is how much is done; for lasting tasks 100 means that the task works.
+	// Percent is how much is done; for lasting tasks 100 means that the task is at work.
 	Percent int
 	// Tail is the tail latency of a serving task over the last half second, Used the processors in use
 	// by any other task; the step determines which of the two applies.
--- a/suspension.go
+++ b/suspension.go
@@ -6,7 +6,8 @@
 )
 
 // stepTolerance is how far the time of day may move against the monotonic clock before the time since
-// boot is read: more than clocks are slewed by in an hour, and far less than any lease.
+// boot is read. Slewing moves both clocks alike, and they are read in close succession, so that normally
+// only a step or a suspension exceeds the tolerance. All leases are far longer.
 const stepTolerance = 2 * time.Millisecond
 
 // NewHostClock returns a clock that includes the time for which the host was suspended, if the system
@@ -20,10 +21,11 @@
 	}, sinceBoot)
 }
 
-// suspension holds by how much the clock is ahead of the monotonic one, and by how much the time of
-// day was when that was determined.
+// suspension holds the offsets of two clocks from the monotonic one.
 type suspension struct {
-	suspended  time.Duration
+	// suspended is how far the clock that includes suspensions is ahead.
+	suspended time.Duration
+	// wallOffset is how far the time of day was ahead when suspended was determined.
 	wallOffset time.Duration
 }
 
--- a/workflow.go
+++ b/workflow.go
@@ -16,7 +16,7 @@
 	Image string
 	// Label is a property of a worker, such as its kind.
 	Label string
-	// RunNumber counts the starts of one task, from 1.
+	// RunNumber counts the starts of one task of a workflow, from 1.
 	RunNumber uint32
 )
 
