--- a/internal/coordination/holder/holder.go
+++ b/internal/coordination/holder/holder.go
@@ -1,5 +1,6 @@
 // Package holder elects one of many processes as the owner of a cell and tells all of them which
-// one it is. Each process has a Holder per cell.
+// one it is. Each process has a Holder per cell. It serves the cells of workflows; the cells of jobs
+// use the packages registrar, observer and seizer.
 //
 // The election uses two rows of a partition that several cells share. The owner row names the
 // owner and its epoch, which fences everything that the owner does; all processes receive its
@@ -10,7 +11,8 @@
 // With a single cell every process reads its beat. With many cells owners read each other's beats
 // and the other processes read seldom, so that the number of reads doesn't grow with processes
 // times cells. A process that finds an owner dead clears the owner row, which the feed announces
-// to all, and the process with the most spare capacity takes the cell.
+// to all. Processes with a large share (Member.Share), few cells and the cell's workers in their own
+// data centre are the first to take the cell.
 package holder
 
 import (
@@ -40,10 +42,10 @@
 	// earlyReadDivisor gives the part of a poll by which a read may come before it is due, since
 	// steps don't run on time to the millisecond.
 	earlyReadDivisor = 2
-	// restPollsPerCell is the number of rest polls per cell between two checks of a process that
+	// idlePollsPerCell is the number of idle polls per cell between two checks of a process that
 	// owns no cell. To see that an owner is alive takes two reads of the beats of all cells; with
 	// this interval the rows read per second are the same for one cell and for many.
-	restPollsPerCell = 2
+	idlePollsPerCell = 2
 	// driftMarginDivisor extends the time to live by 1/10 to allow for clock drift.
 	driftMarginDivisor = 10
 	// releaseRetryInterval is the time between two attempts to release a cell.
@@ -60,7 +62,7 @@
 	Log     *slog.Logger
 	// Changed is called on every change of owner, from a single goroutine.
 	Changed func(View)
-	// CellRequested is called from the same goroutine when a member with more spare capacity
+	// CellRequested is called from the same goroutine when a member with much more share per cell
 	// requests the cell from this owner, which should then call ReleaseTo.
 	CellRequested func(Member)
 	// Owned returns the number of cells that this process owns, OwnedBy the number that a given
@@ -101,7 +103,8 @@
 
 	// The fields below are used by the duty's goroutine only.
 
-	beat cottonlanding.Version
+	// beatVersion is the version of the beat row that was last read or written.
+	beatVersion cottonlanding.Version
 	// beatTTL is the time to live given in the last beat row that was read.
 	beatTTL cottonlanding.Millis
 	// beatSince is when the beat row took its present version, as far as this member has seen.
@@ -109,9 +112,9 @@
 	// ownerAliveAt is when the owner was last known to be alive: its beat changed between two
 	// reads, or it has just become the owner.
 	ownerAliveAt cottonlanding.Millis
-	// forwardedFor is the version of the owner row for which a request was forwarded, undecodable
-	// that of an owner row that can't be decoded.
-	forwardedFor, undecodable cottonlanding.Version
+	// forwardedVersion is the version of the owner row for which a request was forwarded,
+	// undecodableVersion that of an owner row that can't be decoded.
+	forwardedVersion, undecodableVersion cottonlanding.Version
 	// ownerRowSince is when the present owner row was first seen.
 	ownerRowSince cottonlanding.Millis
 	// lastReadSentAt and lastReadAt are when the last read that this holder used was sent and
@@ -142,8 +145,8 @@
 		h.step(ctx)
 	})
 	close(initialized)
-	deps.Watcher.Listen(h.watched(ownerRow), h.duty.Nudge)
-	deps.Watcher.Listen(h.watched(requestRow), h.duty.Nudge)
+	deps.Watcher.Listen(h.watchedKey(ownerRow), h.duty.Nudge)
+	deps.Watcher.Listen(h.watchedKey(requestRow), h.duty.Nudge)
 	return h
 }
 
@@ -152,8 +155,8 @@
 	return h.deps.Reader.partition.Key(rowPrefix + h.cell.String() + "/" + row)
 }
 
-// watched returns the key of one of the cell's rows whose changes the table's feed announces.
-func (h *Holder) watched(row string) cottonlanding.Key {
+// watchedKey returns the key of one of the cell's rows whose changes the table's feed announces.
+func (h *Holder) watchedKey(row string) cottonlanding.Key {
 	return h.deps.Reader.partition.Key(cottonlanding.WatchedPrefix + rowPrefix + h.cell.String() + "/" + row)
 }
 
@@ -324,14 +327,14 @@
 	}
 	h.mu.Unlock()
 	id := newTransactionID()
-	version, err := h.write(ctx, id, cottonlanding.Write{Key: h.key(beatRow), Expect: h.beat, Value: h.encodeBeat(ttl, h.deps.Report())})
+	version, err := h.write(ctx, id, cottonlanding.Write{Key: h.key(beatRow), Expect: h.beatVersion, Value: h.encodeBeat(ttl, h.deps.Report())})
 	h.recordCall(h.clock.Now()-sent, err)
 	if errors.Is(err, cottonlanding.ErrAmbiguous) {
 		version, err = h.confirmBeat(ctx, id)
 	}
 	switch {
 	case err == nil:
-		h.beat, h.beatTTL = version, ttl
+		h.beatVersion, h.beatTTL = version, ttl
 		h.mu.Lock()
 		if h.validUntil > 0 {
 			h.validUntil = sent + ttl
--- a/internal/policy/cataloger/catalog_test.go
+++ b/internal/policy/cataloger/catalog_test.go
@@ -8,7 +8,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/cataloger"
 )
 
-func TestCatalog(t *testing.T) {
+// TestCatalogFindsByName guards against names that get another variant than their own, or get one
+// although they are unknown.
+func TestCatalogFindsByName(t *testing.T) {
 	catalog := cataloger.Catalog[int]{"two": func() int { return 2 }, "one": func() int { return 1 }}
 	one, found := catalog.Get("one")
 	require.True(t, found)
--- a/internal/policy/selector/selector.go
+++ b/internal/policy/selector/selector.go
@@ -1,4 +1,5 @@
-// Package selector turns the names of policies in a host's settings into policies.
+// Package selector turns the names of the workflow scheduler's policies in a host's settings into
+// policies. The names of the policies of jobs are in cottonlanding.Policies.
 package selector
 
 import (
@@ -52,8 +53,9 @@
 	"silence": func() bool { return false },
 }
 
-// silenceVariants are the variants of what is watched for silence: data centres, or workers alone.
-var silenceVariants = cataloger.Catalog[bool]{
+// timeoutScopeVariants are the variants of where nothing is started once workers have stopped answering:
+// in the whole data centre if its workers did so together, or on these workers alone.
+var timeoutScopeVariants = cataloger.Catalog[bool]{
 	"place":  func() bool { return true },
 	"worker": func() bool { return false },
 }
@@ -70,7 +72,9 @@
 	"table": func() bool { return false },
 }
 
-// New returns the policies with the given names. The error reports all unknown names.
+// New returns the policies with the given names. The error reports all unknown names. The decision
+// Together sets KeepsInOneDataCentre, Silence sets WatchesDataCentres, TakeOver sets Reclaim and News
+// sets UsesTableCopy.
 func New(names Names) (Set, error) {
 	s := &selection{names: names}
 	set := Set{
@@ -84,7 +88,7 @@
 			Blame:                choose(s, "Blame", blamer.Catalog, blamer.Fallback)(),
 			Delegation:           choose(s, "Delegation", delegator.Catalog, delegator.Fallback)(),
 			KeepsInOneDataCentre: choose(s, "Together", colocationVariants, "datacentre")(),
-			WatchesDataCentres:   choose(s, "Silence", silenceVariants, "place")(),
+			WatchesDataCentres:   choose(s, "Silence", timeoutScopeVariants, "place")(),
 		},
 		Referral:      choose(s, "Referral", referrer.Catalog, referrer.Fallback)(),
 		Reclaim:       choose(s, "TakeOver", takeOverVariants, "reclaim")(),
