--- a/internal/workflow/gateway/cellroom.go
+++ b/internal/workflow/gateway/cellroom.go
@@ -190,15 +190,15 @@
 	return cottonlanding.CellView{Cell: cell, Usable: usable, Free: report.Free, Spare: report.Spare}
 }
 
-// refer returns the cell to which a new workflow of this home cell is referred, and false if it stays.
-func (p *participant) refer(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
+// referralTarget returns the cell to which a new workflow of this home cell is referred, and false if it stays.
+func (p *participant) referralTarget(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
 	return p.choose(workflow, report, usable, p.others())
 }
 
-// move returns the cell to which a workflow that waits at this home cell is handed over, and false if it stays. A
+// handOverTarget returns the cell to which a workflow that waits at this home cell is handed over, and false if it stays. A
 // workflow can be handed over only once, since only its home records where it is. Therefore one with lasting tasks
 // waits here until a cell has capacity for them, even if fewer tasks wait elsewhere.
-func (p *participant) move(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
+func (p *participant) handOverTarget(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
 	return p.choose(workflow, report, usable, cellsWithLastingRoom(workflow, p.others()))
 }
 
--- a/internal/workflow/gateway/gateway.go
+++ b/internal/workflow/gateway/gateway.go
@@ -333,11 +333,11 @@
 	g.closed = true
 	g.mu.Unlock()
 	g.updateWatches()
-	var left sync.WaitGroup
+	var released sync.WaitGroup
 	for _, p := range *g.participants.Load() {
-		left.Go(func() { p.leave(ctx) })
+		released.Go(func() { p.leave(ctx) })
 	}
-	left.Wait()
+	released.Wait()
 }
 
 // leaving reports whether this host takes no cells any more.
--- a/internal/workflow/gateway/participant.go
+++ b/internal/workflow/gateway/participant.go
@@ -12,8 +12,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// yieldTimeout bounds the hand-over of a cell to a larger host. It allows several attempts of a write.
-const yieldTimeout = 5 * cottonlanding.Second
+// handOverTimeout bounds the hand-over of a cell to a larger host. It allows several attempts of a write.
+const handOverTimeout = 5 * cottonlanding.Second
 
 // participant is this host's part in one cell. It follows the cell's owner, and drives the cell while this host owns
 // it.
@@ -59,7 +59,7 @@
 		},
 		CellRequested: func(to holder.Member) {
 			<-ready
-			go p.yield(to)
+			go p.handOver(to)
 		},
 		Owned:      g.Owned,
 		OwnedBy:    g.ownedBy,
@@ -116,8 +116,8 @@
 		Queues:                p.gateway.deps.Queues,
 		Evacuations:           p.gateway.deps.Evacuations,
 		ValidUntil:            p.holder.ValidUntil,
-		ReferralTarget:        p.refer,
-		HandOverTarget:        p.move,
+		ReferralTarget:        p.referralTarget,
+		HandOverTarget:        p.handOverTarget,
 		Deliver:               p.deliver,
 		Delegate:              p.delegate,
 		SendDelegationRequest: p.sendDelegationRequest,
@@ -186,10 +186,10 @@
 	p.mu.Unlock()
 }
 
-// yield hands the cell over to a larger host. It drops decisions that aren't committed yet, which have had no effect on
+// handOver hands the cell over to a larger host. It drops decisions that aren't committed yet, which have had no effect on
 // workers: a host that is too small may need seconds to commit them.
-func (p *participant) yield(to holder.Member) {
-	ctx, cancel := context.WithTimeout(context.Background(), yieldTimeout.Duration())
+func (p *participant) handOver(to holder.Member) {
+	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout.Duration())
 	defer cancel()
 	if err := p.holder.ReleaseTo(ctx, to); err != nil {
 		p.gateway.deps.Log.Warn("could not hand over the cell", "Cell", p.cell, "To", to.ID, "Error", err)
