--- a/internal/workflow/gateway/cellroom.go
+++ b/internal/workflow/gateway/cellroom.go
@@ -195,9 +195,9 @@
 	return p.choose(workflow, report, usable, p.others())
 }
 
-// handOverTarget returns the cell to which a workflow that waits at this home cell is handed over, and false if it stays. A
-// workflow can be handed over only once, since only its home records where it is. Therefore one with lasting tasks
-// waits here until a cell has capacity for them, even if fewer tasks wait elsewhere.
+// handOverTarget returns the cell to which a workflow that waits at this home cell is handed over, and false if it
+// stays. A workflow can be handed over only once, since only its home records where it is. Therefore one with lasting
+// tasks waits here until a cell has capacity for them, even if fewer tasks wait elsewhere.
 func (p *participant) handOverTarget(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
 	return p.choose(workflow, report, usable, cellsWithLastingRoom(workflow, p.others()))
 }
--- a/internal/workflow/gateway/participant.go
+++ b/internal/workflow/gateway/participant.go
@@ -186,8 +186,8 @@
 	p.mu.Unlock()
 }
 
-// handOver hands the cell over to a larger host. It drops decisions that aren't committed yet, which have had no effect on
-// workers: a host that is too small may need seconds to commit them.
+// handOver hands the cell over to a larger host. It drops decisions that aren't committed yet, which have had no effect
+// on workers: a host that is too small may need seconds to commit them.
 func (p *participant) handOver(to holder.Member) {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout.Duration())
 	defer cancel()
