--- a/internal/workflow/gateway/cellroom.go
+++ b/internal/workflow/gateway/cellroom.go
@@ -8,9 +8,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// maxReportLag is how long referred work may be missing from the report of the cell's owner: until the work is committed
-// in both cells, the owner reports it with a heartbeat, and this host has read that. If hundreds of lasting workflows
-// arrive within a second, a shorter time lets cells take more of them than they can ever run.
+// maxReportLag is how long referred work may be missing from the report of the cell's owner: until the work is
+// committed in both cells, the owner reports it with a heartbeat, and this host has read that. If hundreds of lasting
+// workflows arrive within a second, a shorter time lets cells take more of them than they can ever run.
 const maxReportLag = 2 * cottonlanding.Second
 
 // referredLoad is the CPU that recently referred or delegated work requests at first.
--- a/internal/workflow/gateway/cells_test.go
+++ b/internal/workflow/gateway/cells_test.go
@@ -48,8 +48,8 @@
 	d.hosts[host] = d.host(100*d.restarts + host)
 }
 
-// TestCellsSpreadOverHosts guards against a host that owns all cells, a workflow that can't be submitted or queried at a
-// host which doesn't own its cell, and a waiting count that leaves out cells.
+// TestCellsSpreadOverHosts guards against a host that owns all cells, a workflow that can't be submitted or queried at
+// a host which doesn't own its cell, and a waiting count that leaves out cells.
 func TestCellsSpreadOverHosts(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestFullCellRefersWorkflows guards against workflows that wait at a full home while other cells have room, and against
-// referred ones that can't be found by their id at each host, also while their home has no owner.
+// TestFullCellRefersWorkflows guards against workflows that wait at a full home while other cells have room, and
+// against referred ones that can't be found by their id at each host, also while their home has no owner.
 func TestFullCellRefersWorkflows(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
@@ -142,8 +142,8 @@
 	require.Len(d.t, slices.Compact(holders), len(holders), "workflow %s is handed over to the same cell: %v", id, holders)
 }
 
-// TestOwnersKilledDuringSubmits guards against accepted workflows that are lost, and tasks that run twice, when one, two
-// or all hosts are killed while clients submit workflows and retry until these are accepted.
+// TestOwnersKilledDuringSubmits guards against accepted workflows that are lost, and tasks that run twice, when one,
+// two or all hosts are killed while clients submit workflows and retry until these are accepted.
 func TestOwnersKilledDuringSubmits(t *testing.T) {
 	random := rand.New(rand.NewSource(20261202))
 	d := deployCells(t, cells)
--- a/internal/workflow/gateway/filling_test.go
+++ b/internal/workflow/gateway/filling_test.go
@@ -9,8 +9,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// TestLastingWorkflowMovesBesideFilling guards against a lasting workflow that isn't handed over to a cell that runs only
-// filling tasks, because these count as used capacity. They use only CPU that others leave, so a task with a
+// TestLastingWorkflowMovesBesideFilling guards against a lasting workflow that isn't handed over to a cell that runs
+// only filling tasks, because these count as used capacity. They use only CPU that others leave, so a task with a
 // reservation can run beside them. The workflow's home and two other cells are full.
 func TestLastingWorkflowMovesBesideFilling(t *testing.T) {
 	referral := &delayedReferral{}
--- a/internal/workflow/gateway/handover_test.go
+++ b/internal/workflow/gateway/handover_test.go
@@ -28,8 +28,8 @@
 	return best.Cell, d.enabled.Load() && best.Cell != home.Cell
 }
 
-// TestWaitingWorkflowsMove guards against workflows that are lost, not found or started twice while they are handed over
-// and all owners are killed one after another. Lasting workflows that need seven eighths of all workers are first
+// TestWaitingWorkflowsMove guards against workflows that are lost, not found or started twice while they are handed
+// over and all owners are killed one after another. Lasting workflows that need seven eighths of all workers are first
 // placed by their ids alone, so that some wait while other cells have room.
 func TestWaitingWorkflowsMove(t *testing.T) {
 	referral := &delayedReferral{}
@@ -108,9 +108,10 @@
 	return sum
 }
 
-// TestWorkflowWaitsWhileAllCellsFull guards against a lasting workflow that is handed over to a full cell, where it waits
-// for good while others have room, since it can't be handed over again. Just after the owners of the other cells had
-// changed, nothing was known of these, and a full cell in which nothing waited seemed to have more room than the home.
+// TestWorkflowWaitsWhileAllCellsFull guards against a lasting workflow that is handed over to a full cell, where it
+// waits for good while others have room, since it can't be handed over again. Just after the owners of the other cells
+// had changed, nothing was known of these, and a full cell in which nothing waited seemed to have more room than the
+// home.
 func TestWorkflowWaitsWhileAllCellsFull(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
--- a/internal/workflow/gateway/interrupted_test.go
+++ b/internal/workflow/gateway/interrupted_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// maxDowntime is the longest permitted time until a lasting task runs again if there is twice the capacity that it needs.
-// It is six seconds after its last run, and three seconds without a further fault.
+// maxDowntime is the longest permitted time until a lasting task runs again if there is twice the capacity that it
+// needs. It is six seconds after its last run, and three seconds without a further fault.
 const maxDowntime = 9 * time.Second
 
 // crashWorkerWithLastingTask crashes the first worker that runs a lasting task.
@@ -38,9 +38,9 @@
 	require.Eventually(t, func() bool { return d.runner.Lasting() == lasting }, maxDowntime, 10*time.Millisecond, "other cells have room for what was lost")
 }
 
-// TestInterruptedTasksDelegatedDuringOwnerChanges guards against interrupted tasks that wait for good in their full cell,
-// run twice or outlive their workflow, when two workers crash for good and all owners are killed at some time after
-// that.
+// TestInterruptedTasksDelegatedDuringOwnerChanges guards against interrupted tasks that wait for good in their full
+// cell, run twice or outlive their workflow, when two workers crash for good and all owners are killed at some time
+// after that.
 func TestInterruptedTasksDelegatedDuringOwnerChanges(t *testing.T) {
 	for _, killedAfter := range []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second} {
 		t.Run(killedAfter.String(), func(t *testing.T) {
--- a/internal/workflow/gateway/lists_test.go
+++ b/internal/workflow/gateway/lists_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestFirstCellOwnerRelaysList guards against owners that all read the list of workers from its source, rather than over
-// the network from the owner of the first cell, or from the next owner once that is killed.
+// TestFirstCellOwnerRelaysList guards against owners that all read the list of workers from its source, rather than
+// over the network from the owner of the first cell, or from the next owner once that is killed.
 func TestFirstCellOwnerRelaysList(t *testing.T) {
 	d := deployCells(t, cells)
 	d.awaitOwners()
--- a/internal/workflow/gateway/ownerwatch.go
+++ b/internal/workflow/gateway/ownerwatch.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// shouldWatch reports whether this host watches the owner of the cell. With one cell the hosts watch that would be among
-// the first to take over; with several cells the next owners in the order of cells. A host that has just started doesn't
-// know the age of heartbeats yet, and watches all owners.
+// shouldWatch reports whether this host watches the owner of the cell. With one cell the hosts watch that would be
+// among the first to take over; with several cells the next owners in the order of cells. A host that has just started
+// doesn't know the age of heartbeats yet, and watches all owners.
 func (p *participant) shouldWatch(view holder.View) bool {
 	self := p.gateway.settings.Self
 	switch {
--- a/internal/workflow/gateway/silentconnection_test.go
+++ b/internal/workflow/gateway/silentconnection_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestSlowOwnerKeepsConnection guards against ever more connections to an owner that is slow to commit but answers other
-// calls.
+// TestSlowOwnerKeepsConnection guards against ever more connections to an owner that is slow to commit but answers
+// other calls.
 func TestSlowOwnerKeepsConnection(t *testing.T) {
 	d := deploy(t)
 	owner := d.owner()
--- a/internal/workflow/gateway/slowtable_test.go
+++ b/internal/workflow/gateway/slowtable_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/policy/selector"
 )
 
-// TestTasksSurviveOwnersKilledWithSlowTable guards against interrupted lasting tasks when all owners are killed while the
-// table is slow: the time without an owner must be shorter than the workers' leases.
+// TestTasksSurviveOwnersKilledWithSlowTable guards against interrupted lasting tasks when all owners are killed while
+// the table is slow: the time without an owner must be shorter than the workers' leases.
 func TestTasksSurviveOwnersKilledWithSlowTable(t *testing.T) {
 	d := deployWithSlowCall(t, cells, selector.Default().Referral, slowCall)
 	d.awaitOwners()
