--- a/internal/workflow/gateway/layout.go
+++ b/internal/workflow/gateway/layout.go
@@ -137,8 +137,8 @@
 	if view.Version == 0 {
 		return waited >= ownersTimeout
 	}
-	_, told := p.latestReport()
-	return told || waited >= reportsTimeout
+	_, reported := p.latestReport()
+	return reported || waited >= reportsTimeout
 }
 
 // cellWorkers caches the workers of a cell for a list and a layout.
