--- a/internal/workflow/gateway/cellroom.go
+++ b/internal/workflow/gateway/cellroom.go
@@ -8,9 +8,9 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// maxReportLag is how long referred work may be missing from the report of the cell's owner: until the work is committed
-// in both cells, the owner reports it with a heartbeat, and this host has read that. If hundreds of lasting workflows
-// arrive within a second, a shorter time lets cells take more of them than they can ever run.
+// maxReportLag is how long referred work may be missing from the report of the cell's owner: until the work is
+// committed in both cells, the owner reports it with a heartbeat, and this host has read that. If hundreds of lasting
+// workflows arrive within a second, a shorter time lets cells take more of them than they can ever run.
 const maxReportLag = 2 * cottonlanding.Second
 
 // referredLoad is the CPU that recently referred or delegated work requests at first.
@@ -190,15 +190,15 @@
 	return cottonlanding.CellView{Cell: cell, Usable: usable, Free: report.Free, Spare: report.Spare}
 }
 
-// refer returns the cell to which a new workflow of this home cell is referred, and false if it stays.
-func (p *participant) refer(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
+// referralTarget returns the cell to which a new workflow of this home cell is referred, and false if it stays.
+func (p *participant) referralTarget(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
 	return p.choose(workflow, report, usable, p.others())
 }
 
-// move returns the cell to which a workflow that waits at this home cell is handed over, and false if it stays. A
-// workflow can be handed over only once, since only its home records where it is. Therefore one with lasting tasks
-// waits here until a cell has capacity for them, even if fewer tasks wait elsewhere.
-func (p *participant) move(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
+// handOverTarget returns the cell to which a workflow that waits at this home cell is handed over, and false if it
+// stays. A workflow can be handed over only once, since only its home records where it is. Therefore one with lasting
+// tasks waits here until a cell has capacity for them, even if fewer tasks wait elsewhere.
+func (p *participant) handOverTarget(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
 	return p.choose(workflow, report, usable, cellsWithLastingRoom(workflow, p.others()))
 }
 
