--- a/internal/workflow/driver/cellserializer.go
+++ b/internal/workflow/driver/cellserializer.go
@@ -23,12 +23,12 @@
 }
 
 // run starts a call to a cell, unless one is under way.
-func (s *cellSerializer) run(to cottonlanding.CellNumber, call func()) {
+func (s *cellSerializer) run(to cottonlanding.CellNumber, batch func()) {
 	if !s.acquire(to) {
 		return
 	}
 	s.work.Go(func() {
-		call()
+		batch()
 		if s.release(to) {
 			s.retry.Wake()
 		}
--- a/internal/workflow/driver/delegation.go
+++ b/internal/workflow/driver/delegation.go
@@ -29,8 +29,8 @@
 			d.cell.Delegate(delegation.Ref, delegation.To, now)
 		}
 	}
-	if !d.requestsDelegation && d.cell.HasDelegations() {
-		d.requestsDelegation = true
+	if !d.delegationRequestsStarted && d.cell.HasDelegations() {
+		d.delegationRequestsStarted = true
 		d.work.Go(d.sendDelegationRequests)
 	}
 }
--- a/internal/workflow/driver/driver.go
+++ b/internal/workflow/driver/driver.go
@@ -115,10 +115,10 @@
 	overloaded atomic.Bool
 	// lastReport is the capacity report after the last decision.
 	lastReport atomic.Pointer[lastReport]
-	// requestsDelegation says that sendDelegationRequests runs, which delegationRequestsDue wakes before its next
+	// delegationRequestsStarted says that sendDelegationRequests runs, which delegationRequestsDue wakes before its next
 	// interval.
-	requestsDelegation    bool
-	delegationRequestsDue waker.Waker
+	delegationRequestsStarted bool
+	delegationRequestsDue     waker.Waker
 	// decisionsDue and ordersDue wake the two loops before their next tick.
 	decisionsDue waker.Waker
 	ordersDue    waker.Waker
--- a/internal/workflow/driver/driver_test.go
+++ b/internal/workflow/driver/driver_test.go
@@ -62,8 +62,8 @@
 	h.unblocked = unblocked
 }
 
-// TestOwnerUnderLoad guards against urgent orders that wait for less urgent work of the owner.
-func TestOwnerUnderLoad(t *testing.T) {
+// TestOwnerStaysResponsiveUnderLoad guards against urgent orders that wait for less urgent work of the owner.
+func TestOwnerStaysResponsiveUnderLoad(t *testing.T) {
 	t.Run("stop overtakes starts", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			starts := &slowStarts{delay: 900 * time.Millisecond}
--- a/internal/workflow/driver/meter.go
+++ b/internal/workflow/driver/meter.go
@@ -30,17 +30,17 @@
 }
 
 // Merge returns the maximum of each duration and of Streams, and the sums of the counters.
-func (p Stats) Merge(other Stats) Stats {
+func (s Stats) Merge(other Stats) Stats {
 	return Stats{
-		Turns:     p.Turns + other.Turns,
-		Decide:    max(p.Decide, other.Decide),
-		Commit:    max(p.Commit, other.Commit),
-		Turn:      max(p.Turn, other.Turn),
-		Pause:     max(p.Pause, other.Pause),
-		Orders:    p.Orders + other.Orders,
-		OrderWait: max(p.OrderWait, other.OrderWait),
-		OrderCall: max(p.OrderCall, other.OrderCall),
-		Streams:   max(p.Streams, other.Streams),
+		Turns:     s.Turns + other.Turns,
+		Decide:    max(s.Decide, other.Decide),
+		Commit:    max(s.Commit, other.Commit),
+		Turn:      max(s.Turn, other.Turn),
+		Pause:     max(s.Pause, other.Pause),
+		Orders:    s.Orders + other.Orders,
+		OrderWait: max(s.OrderWait, other.OrderWait),
+		OrderCall: max(s.OrderCall, other.OrderCall),
+		Streams:   max(s.Streams, other.Streams),
 	}
 }
 
@@ -78,10 +78,10 @@
 		return
 	}
 	m.loggedAt, m.logged, m.current = t.ended, m.current, Stats{}
-	p := m.logged
-	m.log.Info("progress of the owner", "Turns", p.Turns, "LongestDecide", p.Decide, "LongestCommit", p.Commit,
-		"LongestTurn", p.Turn, "LongestPause", p.Pause, "Orders", p.Orders, "LongestOrderWait", p.OrderWait,
-		"LongestOrder", p.OrderCall, "MostStreams", p.Streams)
+	s := m.logged
+	m.log.Info("progress of the owner", "Turns", s.Turns, "LongestDecide", s.Decide, "LongestCommit", s.Commit,
+		"LongestTurn", s.Turn, "LongestPause", s.Pause, "Orders", s.Orders, "LongestOrderWait", s.OrderWait,
+		"LongestOrder", s.OrderCall, "MostStreams", s.Streams)
 }
 
 // recordStreams records how many streams have orders under way.
--- a/internal/workflow/driver/outbox.go
+++ b/internal/workflow/driver/outbox.go
@@ -46,29 +46,29 @@
 func (o *outbox) add(order planner.Order) (streamKey, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	at := streamKeyOf(order)
-	queued, running := o.streams[at]
-	o.streams[at] = append(queued, order)
-	return at, !running
+	key := streamKeyOf(order)
+	queued, running := o.streams[key]
+	o.streams[key] = append(queued, order)
+	return key, !running
 }
 
 // next removes and returns the next order of a stream; false means that the stream has ended.
-func (o *outbox) next(at streamKey) (planner.Order, bool) {
+func (o *outbox) next(key streamKey) (planner.Order, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	queued := o.streams[at]
+	queued := o.streams[key]
 	if len(queued) == 0 {
-		delete(o.streams, at)
+		delete(o.streams, key)
 		return planner.Order{}, false
 	}
-	o.streams[at] = queued[1:]
+	o.streams[key] = queued[1:]
 	return queued[0], true
 }
 
 // recordResult keeps the result of an order until it is applied to the cell.
-func (o *outbox) recordResult(a orderResult) {
+func (o *outbox) recordResult(result orderResult) {
 	o.mu.Lock()
-	o.results = append(o.results, a)
+	o.results = append(o.results, result)
 	o.mu.Unlock()
 	o.resultsDue.Wake()
 }
--- a/internal/workflow/driver/sender.go
+++ b/internal/workflow/driver/sender.go
@@ -40,8 +40,8 @@
 	d.holdStarts()
 	d.cell.SetOwnedUntil(d.deps.ValidUntil())
 	for _, order := range d.cell.Orders(now) {
-		if at, first := d.outbox.add(order); first {
-			d.work.Go(func() { d.sendAll(at) })
+		if key, first := d.outbox.add(order); first {
+			d.work.Go(func() { d.sendAll(key) })
 		}
 	}
 	d.meter.recordStreams(d.outbox.size())
@@ -79,9 +79,9 @@
 		case <-d.outbox.resultsDue:
 		}
 		d.mu.Lock()
-		for _, a := range d.outbox.takeResults() {
+		for _, result := range d.outbox.takeResults() {
 			if d.cell != nil {
-				d.cell.OrderAnswered(a.order, a.reading, a.err, a.at)
+				d.cell.OrderAnswered(result.order, result.reading, result.err, result.at)
 			}
 		}
 		d.mu.Unlock()
