--- a/internal/workflow/driver/calls.go
+++ b/internal/workflow/driver/calls.go
@@ -8,7 +8,7 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// ReferredError reports that a workflow is kept in another cell, which is to be asked instead.
+// ReferredError reports that another cell owns a workflow, and is to be asked instead.
 type ReferredError struct {
 	To cottonlanding.CellNumber
 }
@@ -16,10 +16,8 @@
 // Error implements error.
 func (e *ReferredError) Error() string { return fmt.Sprintf("the workflow is kept in cell %s", e.To) }
 
-// Submit submits a workflow to its home cell. The error is a ReferredError if another cell is to keep the workflow;
-// ErrUnavailable, ErrNotFound or ErrCannotRun if it was not accepted; ErrAmbiguous if that is unknown. An overloaded
-// owner rejects workflows that it doesn't know at once: the answer would come too late, and each further workflow would
-// make its decisions longer.
+// Submit submits a workflow to its home cell. The error is a ReferredError if another cell is to own the workflow;
+// ErrUnavailable, ErrNotFound or ErrCannotRun if it was not accepted; ErrAmbiguous if that is unknown.
 func (d *Driver) Submit(ctx context.Context, workflow cottonlanding.Workflow) error {
 	var referred *ReferredError
 	err := d.update(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
@@ -55,8 +53,11 @@
 	})
 }
 
+// accept submits a workflow to this cell. An overloaded owner rejects new workflows immediately: the answer would come
+// too late, and each further workflow would make its decisions longer.
 func (d *Driver) accept(cell *planner.Cell, workflow cottonlanding.Workflow, now cottonlanding.Millis, done func(error)) {
 	if d.overloaded.Load() && !cell.Knows(workflow.ID) {
+		// clients see this text
 		done(fmt.Errorf("the owner is behind with its decisions: %w", cottonlanding.ErrUnavailable))
 		return
 	}
@@ -69,7 +70,7 @@
 	err := d.update(ctx, func(cell *planner.Cell, now cottonlanding.Millis, done func(error)) {
 		if to, found := cell.Referral(id); found && !cell.HandOverPending(id) {
 			referred = &ReferredError{to}
-			cell.Refer(id, to, now, done)
+			cell.Refer(id, to, now, done) // the caller is sent to the other cell only once the referral is committed
 			return
 		}
 		cell.Cancel(id, now, done)
@@ -87,6 +88,7 @@
 	done := make(chan error, 1)
 	if err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) {
 		if ctx.Err() != nil {
+			// clients see this text
 			done <- fmt.Errorf("its caller has given up: %w", cottonlanding.ErrUnavailable)
 			return
 		}
@@ -161,14 +163,14 @@
 	return last.report, last.usable
 }
 
-// OldReferrals returns at most limit workflows that were referred long ago, with the cells that keep them.
+// OldReferrals returns at most limit workflows that were referred long ago, with the cells that own them.
 func (d *Driver) OldReferrals(limit int) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	return query(d, func(cell *planner.Cell, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 		return cell.OldReferrals(limit, now)
 	})
 }
 
-// ResolveReferral records whether the cell that keeps a referred workflow still knows it.
+// ResolveReferral records whether the cell that owns a referred workflow still knows it.
 func (d *Driver) ResolveReferral(id cottonlanding.WorkflowID, known bool) {
 	err := d.withCell(func(cell *planner.Cell, now cottonlanding.Millis) {
 		if known {
--- a/internal/workflow/driver/cellserializer.go
+++ b/internal/workflow/driver/cellserializer.go
@@ -7,14 +7,15 @@
 	"github.com/cottonlanding/cottonlanding/internal/duty/waker"
 )
 
-// cellSerializer runs one call to each cell at a time, so that a cell which gives no answer delays only its own calls.
+// cellSerializer runs at most one batch of calls to each cell at a time, so that a cell which gives no answer delays
+// only its own batches.
 type cellSerializer struct {
 	work *sync.WaitGroup
-	// retry is woken when a call has ended and another one to the same cell was skipped meanwhile.
+	// retry is woken when a batch has ended and another one for the same cell was skipped meanwhile.
 	retry waker.Waker
 
 	mu sync.Mutex
-	// busy holds the cells with a call under way, and whether another call was skipped meanwhile.
+	// busy holds the cells with a batch under way, and whether another batch was skipped meanwhile.
 	busy map[cottonlanding.CellNumber]bool
 }
 
@@ -22,7 +23,7 @@
 	return &cellSerializer{work: work, retry: retry, busy: make(map[cottonlanding.CellNumber]bool)}
 }
 
-// run starts a call to a cell, unless one is under way.
+// run starts a batch for a cell. While one is under way it starts nothing, and retry is woken once that has ended.
 func (s *cellSerializer) run(to cottonlanding.CellNumber, batch func()) {
 	if !s.acquire(to) {
 		return
@@ -35,7 +36,7 @@
 	})
 }
 
-// acquire marks the cell as busy, and reports whether no call was under way.
+// acquire marks the cell as busy, and reports whether no batch was under way.
 func (s *cellSerializer) acquire(to cottonlanding.CellNumber) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +45,7 @@
 	return !busy
 }
 
-// release marks the cell as idle, and reports whether a call was skipped while it was busy.
+// release marks the cell as idle, and reports whether a batch was skipped while it was busy.
 func (s *cellSerializer) release(to cottonlanding.CellNumber) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/workflow/driver/claim.go
+++ b/internal/workflow/driver/claim.go
@@ -19,7 +19,8 @@
 type fence struct {
 	// Epoch is that of the owner that wrote the row.
 	Epoch cottonlanding.Epoch
-	// BoundsKeptSince is the epoch since which all owners that wrote the row observe lease bounds.
+	// BoundsKeptSince is the first epoch from which all owners that wrote the row keep to the stored lease bounds: see
+	// planner.Setup.
 	BoundsKeptSince cottonlanding.Epoch `json:",omitempty"`
 }
 
--- a/internal/workflow/driver/datacentrepartition_test.go
+++ b/internal/workflow/driver/datacentrepartition_test.go
@@ -54,9 +54,9 @@
 }
 
 // TestFewStartsInPartitionedDataCentre guards against short tasks that are started in a partitioned data centre: such a
-// start waits for the end of the partition, and its workflow with it. Workers that are found silent as a data centre
-// get less than half of the starts that they get if each is found silent by itself, and get tasks again once they
-// answer.
+// start waits for the end of the partition, and its workflow with it. Workers that are found unresponsive together, as
+// a data centre, get fewer starts than if each is found unresponsive on its own, and at most those due within
+// detectionTime. They get tasks again once they answer.
 func TestFewStartsInPartitionedDataCentre(t *testing.T) {
 	const (
 		startsPerSecond = 100 / dataCentreCount
@@ -89,7 +89,7 @@
 			o.driver.Close()
 		})
 	}
-	t.Logf("starts sent to the partitioned data centre: %d with silence per worker, %d with silence per data centre",
+	t.Logf("starts sent to the partitioned data centre: %d if each worker is found unresponsive on its own, %d if the data centre is",
 		started[true], started[false])
 	require.Less(t, started[false], started[true])
 	require.LessOrEqual(t, started[false], int64(startsPerSecond*detectionTime/time.Second))
--- a/internal/workflow/driver/delegation.go
+++ b/internal/workflow/driver/delegation.go
@@ -120,7 +120,7 @@
 }
 
 // UnconfirmedDelegated returns at most limit delegated workflows about which no request has come for long, with the
-// cells that keep these workflows.
+// cells that own these workflows.
 func (d *Driver) UnconfirmedDelegated(limit int) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 	return query(d, func(cell *planner.Cell, now cottonlanding.Millis) map[cottonlanding.WorkflowID]cottonlanding.CellNumber {
 		return cell.UnconfirmedDelegated(limit, now)
--- a/internal/workflow/driver/driver.go
+++ b/internal/workflow/driver/driver.go
@@ -21,7 +21,8 @@
 )
 
 const (
-	// tick is the maximum time between two decisions.
+	// tick is the interval at which the owner decides, and looks for due orders, without being woken. Long decisions and
+	// commits make the time between two decisions longer: see pauseAfter.
 	tick = 100 * cottonlanding.Millis(1)
 	// coalescingInterval is the minimum time between two transactions, so that changes in between share the next one;
 	// the table takes about 15 ms for a transaction.
@@ -33,7 +34,8 @@
 	callTimeout       = cottonlanding.Second
 	loadRetryInterval = 100 * cottonlanding.Millis(1)
 	// initialPageSize is how many rows are read at once at first: with usual payloads they come over a 10-Mbit/s link
-	// within a quarter of tableTimeout. A page that doesn't arrive is halved, down to minPageSize.
+	// within a quarter of tableTimeout. Each failed load halves the size, down to minPageSize, so that pages arrive over
+	// slower links too.
 	initialPageSize = 150
 	minPageSize     = 25
 	// overloadThreshold is the maximum duration of a decision with which new work is accepted. A request that comes
@@ -42,7 +44,8 @@
 	overloadThreshold = 350 * cottonlanding.Millis(1)
 	// slowCommitThreshold is the duration from which a commit counts as slow.
 	slowCommitThreshold = 300 * cottonlanding.Millis(1)
-	// maxReportAge is the maximum age of a capacity report that is passed on: three heartbeats.
+	// maxReportAge is the maximum age of a capacity report that is passed on: three times the interval at which
+	// a cell reports its free capacity.
 	maxReportAge = 900 * cottonlanding.Millis(1)
 	// maxImmediatePolls bounds the polls under way that ask for an answer at once. A small host takes about 10 ms for
 	// each, so that it reads the answers within callTimeout.
@@ -70,14 +73,15 @@
 	Queues func() cottonlanding.Queues
 	// Evacuations returns the evacuations that were read last; nothing may start in an evacuated data centre.
 	Evacuations func() cottonlanding.Evacuations
-	// ValidUntil returns the instant until which this process is guaranteed to own the cell.
+	// ValidUntil returns the instant until which this process is guaranteed to own the cell, as holder.Holder.ValidUntil
+	// does. The planner calls it OwnedUntil.
 	ValidUntil func() cottonlanding.Millis
-	// ReferralTarget returns the cell that is to keep a new workflow, if it isn't this one. It is given the free
-	// capacity of this cell, and whether this cell has usable workers.
+	// ReferralTarget returns the cell that is to own a new workflow, which means to store it and to decide about it, if
+	// that isn't this one. It is given the free capacity of this cell, and whether this cell has usable workers.
 	ReferralTarget func(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool)
 	// HandOverTarget is the same for a waiting workflow, which is handed over to the cell that it returns.
 	HandOverTarget func(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool)
-	// Deliver submits a workflow that was handed over to the cell that is to keep it.
+	// Deliver submits a workflow that was handed over to the cell that is to own it.
 	Deliver func(ctx context.Context, workflow cottonlanding.Workflow, to cottonlanding.CellNumber) error
 	// Delegate returns the cells that are to run tasks for which this cell has no room.
 	Delegate func([]planner.DelegableTask) []planner.Delegation
@@ -85,7 +89,7 @@
 	SendDelegationRequest func(ctx context.Context, to cottonlanding.CellNumber, request planner.DelegationRequest) (planner.DelegationResponse, error)
 	// IsHome reports whether this cell is the home of a workflow.
 	IsHome func(cottonlanding.WorkflowID) bool
-	// Siblings returns the partitions of all other cells.
+	// Siblings returns the partitions of all other cells, whose findings about images this one uses.
 	Siblings func() []cottonlanding.Partition
 	// OnLost is called once when the cell is lost to another owner.
 	OnLost func()
@@ -115,8 +119,8 @@
 	overloaded atomic.Bool
 	// lastReport is the capacity report after the last decision.
 	lastReport atomic.Pointer[lastReport]
-	// delegationRequestsStarted says that sendDelegationRequests runs, which delegationRequestsDue wakes before its next
-	// interval.
+	// delegationRequestsStarted says that sendDelegationRequests was started, which runs until the driver ends and which
+	// delegationRequestsDue wakes before its next interval.
 	delegationRequestsStarted bool
 	delegationRequestsDue     waker.Waker
 	// decisionsDue and ordersDue wake the two loops before their next tick.
--- a/internal/workflow/driver/driver_test.go
+++ b/internal/workflow/driver/driver_test.go
@@ -62,7 +62,8 @@
 	h.unblocked = unblocked
 }
 
-// TestOwnerStaysResponsiveUnderLoad guards against urgent orders that wait for less urgent work of the owner.
+// TestOwnerStaysResponsiveUnderLoad guards against stops that wait for slow starts or for a later commit, and against
+// decisions that leave no time for polls, orders and calls.
 func TestOwnerStaysResponsiveUnderLoad(t *testing.T) {
 	t.Run("stop overtakes starts", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -120,8 +121,8 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		share := float64(policy.spent.Load()) / float64(time.Since(began))
-		require.Less(t, share, 0.6, "the share of the time that decisions take")
-		require.Greater(t, share, 0.1, "the owner decides all the time here")
+		require.Less(t, share, 0.6, "share of the time that decisions take")
+		require.Greater(t, share, 0.1, "share of the time that decisions take; below it the owner is not under load")
 	})
 }
 
--- a/internal/workflow/driver/evacuate_test.go
+++ b/internal/workflow/driver/evacuate_test.go
@@ -66,7 +66,7 @@
 }
 
 // TestStaleWorkerListBlocksStarts guards against starts by an owner whose list of workers is stale, so that it doesn't
-// know which of them leave. Nothing starts later than leavingDeadline after the last complete list.
+// know which of them leave. No start is sent later than leavingDeadline after the last complete list.
 func TestStaleWorkerListBlocksStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Int64
--- a/internal/workflow/driver/handover.go
+++ b/internal/workflow/driver/handover.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// handOverInterval is how often workflows to hand over are looked for: as often as other cells report their free
-	// capacity.
+	// handOverInterval is how often workflows to hand over are looked for: the interval at which other cells report their
+	// free capacity.
 	handOverInterval = 300 * cottonlanding.Millis(1)
 	// maxHandOversAtOnce bounds the workflows handed over at a time, so that the next reports of the other cells show
 	// them before more follow.
 	maxHandOversAtOnce = 12
 	// deliveryInterval is how often workflows to deliver to other cells are looked for.
 	deliveryInterval = 100 * cottonlanding.Millis(1)
-	// maxConcurrentDeliveries bounds the concurrent calls to one cell.
+	// maxConcurrentDeliveries bounds the concurrent calls in one batch to a cell.
 	maxConcurrentDeliveries = 8
 )
 
@@ -63,7 +63,7 @@
 	})
 }
 
-// deliver delivers up to maxConcurrentDeliveries workflows to one cell.
+// deliver delivers a batch of up to maxConcurrentDeliveries workflows to one cell.
 func (d *Driver) deliver(to cottonlanding.CellNumber, workflows []cottonlanding.Workflow) {
 	var calls sync.WaitGroup
 	for _, workflow := range workflows[:min(len(workflows), maxConcurrentDeliveries)] {
@@ -72,6 +72,8 @@
 	calls.Wait()
 }
 
+// deliverOne delivers one workflow. A ReferredError counts as acceptance, because the other cell has then committed its
+// own referral of the workflow.
 func (d *Driver) deliverOne(to cottonlanding.CellNumber, workflow cottonlanding.Workflow) {
 	ctx, cancel := context.WithTimeout(d.ctx, callTimeout.Duration())
 	defer cancel()
--- a/internal/workflow/driver/load.go
+++ b/internal/workflow/driver/load.go
@@ -127,7 +127,8 @@
 	}
 }
 
-// readTableClock passes the newest reading of the table's clock to a cell.
+// readTableClock passes the newest reading of the table's clock to a cell. The caller holds the lock, unless the cell
+// is still being loaded.
 func (d *Driver) readTableClock(cell *planner.Cell) {
 	if d.deps.TableClock == nil {
 		return
--- a/internal/workflow/driver/meter.go
+++ b/internal/workflow/driver/meter.go
@@ -18,7 +18,9 @@
 	Decide cottonlanding.Millis
 	Commit cottonlanding.Millis
 	Turn   cottonlanding.Millis
-	// Pause is the longest time between two turns; above the tick, the process got too little processor time.
+	// Pause is the longest time from the end of a recorded turn to the beginning of the next. It exceeds the tick after
+	// long decisions (see pauseAfter), while the ownership isn't confirmed, and if the process gets too little processor
+	// time.
 	Pause cottonlanding.Millis
 	// Orders counts the orders sent, OrderWait is the longest time that one waited for those before it, OrderCall the
 	// longest call.
--- a/internal/workflow/driver/overload_test.go
+++ b/internal/workflow/driver/overload_test.go
@@ -12,7 +12,7 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// overloadTolerance is how much longer than its decisions take an owner may be overloaded: several turns.
+// overloadTolerance is for how long an owner may stay overloaded after its decisions should be done: several turns.
 const overloadTolerance = 500 * cottonlanding.Millis(1)
 
 // clockCostPolicy is a policy that advances the owner's clock for each task that it places, as on a slow processor. It
--- a/internal/workflow/driver/poller.go
+++ b/internal/workflow/driver/poller.go
@@ -70,8 +70,9 @@
 	return d.nextPollLocked(id, d.deps.Clock.Now())
 }
 
-// beginPoll is nextPoll that also records a poll which is sent at once. Only polls without a wait can have ends that
-// are still to be committed, so that no others are recorded.
+// beginPoll is nextPoll that also records the poll, if it is to be sent now. Only polls that get a slot are recorded.
+// Of the others, those that confirm a life or follow a failed poll may have uncommitted ends too; the poll after these
+// doesn't wait for the ends again.
 func (d *Driver) beginPoll(id cottonlanding.WorkerID) (planner.NextPoll, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,7 +108,7 @@
 	pauser.Wait(d.ctx, span, woken)
 }
 
-// wakePollers wakes the pollers of all workers whose ends are committed.
+// wakePollers wakes the pollers of all workers whose ends are committed. The caller holds the lock.
 func (d *Driver) wakePollers() {
 	for id, poller := range d.pollers {
 		if d.cell.EndsCommitted(id) {
--- a/internal/workflow/driver/pollrate_test.go
+++ b/internal/workflow/driver/pollrate_test.go
@@ -24,8 +24,8 @@
 }
 
 // TestPollRateIsBounded guards against an owner that polls workers which don't hold back their answers as soon as they
-// have answered. With 16 of them, one processor had so little time left for callers that cancellations weren't
-// acknowledged within ten seconds.
+// have answered. Sixteen such workers leave one processor so little time for callers that cancellations take more than
+// ten seconds.
 func TestPollRateIsBounded(t *testing.T) {
 	const workers = 16
 	var immediate *immediateWorkers
@@ -38,5 +38,5 @@
 	o.eventually("all run", func() bool { return o.runner.Lasting() == workers })
 	before := immediate.polls.Load()
 	time.Sleep(time.Second)
-	require.LessOrEqual(t, immediate.polls.Load()-before, int64(workers*30), "each is polled twenty times a second")
+	require.LessOrEqual(t, immediate.polls.Load()-before, int64(workers*30), "polls in a second: 20 for each worker and a tolerance")
 }
--- a/internal/workflow/driver/refresh.go
+++ b/internal/workflow/driver/refresh.go
@@ -5,7 +5,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/duty/waker"
 )
 
-// refresh applies the newest configuration, evacuations and list of workers to the cell, and starts pollers.
+// refresh applies the newest configuration, evacuations and list of workers to the cell, and starts pollers. The caller
+// holds the lock.
 func (d *Driver) refresh(now cottonlanding.Millis) {
 	d.cell.SetQueues(d.deps.Queues())
 	d.cell.SetEvacuations(d.deps.Evacuations(), now)
--- a/internal/workflow/driver/sender.go
+++ b/internal/workflow/driver/sender.go
@@ -47,7 +47,7 @@
 	d.meter.recordStreams(d.outbox.size())
 }
 
-// holdStarts withholds starts while the lists of workers or evacuations are stale.
+// holdStarts withholds starts while the lists of workers or evacuations are stale. The caller holds the lock.
 func (d *Driver) holdStarts() {
 	age := d.startValidator.dataAges()
 	if d.cell.HoldStarts(age.stale()) {
--- a/internal/workflow/driver/siblings.go
+++ b/internal/workflow/driver/siblings.go
@@ -5,12 +5,12 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/planner"
 )
 
-// learntReadInterval is how often the rows in which other cells record what they learn of images are read; these are
+// learntReadInterval is how often the rows are read in which other cells store their findings about images; these are
 // written as often.
 const learntReadInterval = 3 * cottonlanding.Second
 
-// followLearnt loads what other cells have learnt, from when a workflow of this cell names an image, because each cell
-// reads the rows of all others.
+// followLearnt loads the findings of other cells: how much tasks of one image raise the utilization of tasks of
+// another. It begins only when a workflow of this cell names an image, because each cell reads the rows of all others.
 func (d *Driver) followLearnt() {
 	for d.ctx.Err() == nil {
 		if d.usesImages() {
@@ -20,21 +20,21 @@
 	}
 }
 
-// usesImages reports whether the cell uses what is learnt of images.
+// usesImages reports whether the cell uses findings about images.
 func (d *Driver) usesImages() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cell != nil && d.cell.HasImages()
 }
 
-// readLearnt reads the rows in which other cells record what they learn. A row that can't be read is left out until the
+// readLearnt reads the rows in which other cells store their findings. A row that can't be read is left out until the
 // next time.
 func (d *Driver) readLearnt() []cottonlanding.Row {
 	var rows []cottonlanding.Row
 	for _, partition := range d.deps.Siblings() {
 		learnt, err := d.read(planner.LearntKey(partition))
 		if err != nil {
-			continue // the holder logs a lost table
+			continue // package holder logs that the table can't be reached
 		}
 		rows = append(rows, learnt...)
 	}
--- a/internal/workflow/driver/stale_test.go
+++ b/internal/workflow/driver/stale_test.go
@@ -142,7 +142,7 @@
 	require.Greater(t, leases.minRemaining, cottonlanding.Millis(5000), "remaining time of a lease of 6 s when its poll arrives")
 }
 
-// leavingDeadline is how long after a worker is known to leave a start may still reach it.
+// leavingDeadline is for how long after a worker is listed as leaving a start may still be sent to it.
 const leavingDeadline = 2 * time.Second
 
 // queuedStarts counts the starts that are sent while counting is set.
--- a/internal/workflow/driver/startvalidator.go
+++ b/internal/workflow/driver/startvalidator.go
@@ -13,9 +13,9 @@
 	// every 1.5 s, and its age counts from the request. This age and a start, which takes at most callTimeout, are
 	// together less than the 5 s after which nothing may start in an evacuated data centre.
 	maxEvacuationsAge = 3500 * cottonlanding.Millis(1)
-	// maxWorkerListAge is how old the list of workers may be when a start is sent: a start must not come later than 2 s
-	// after the list says that the worker leaves. The list of a connected host is up to 0.5 s and a call old; that of a
-	// host which lags behind with thousands of workers is seconds old.
+	// maxWorkerListAge is how old the list of workers may be when a start is sent, so that no start is sent later than
+	// 2 s after its worker is listed as leaving; it may arrive up to callTimeout later. The list of a connected host is
+	// up to 0.5 s and a call old; that of a host which lags behind with thousands of workers is seconds old.
 	maxWorkerListAge = 1500 * cottonlanding.Millis(1)
 )
 
--- a/internal/workflow/driver/unresponsivecell_test.go
+++ b/internal/workflow/driver/unresponsivecell_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestUnresponsiveCellDelaysOnlyItsHandOvers guards against rounds of deliveries that last as long as the call to a
-// cell which gives no answer: workflows for all other cells waited for it.
+// cell which gives no answer, so that the workflows for all other cells wait for it.
 func TestUnresponsiveCellDelaysOnlyItsHandOvers(t *testing.T) {
 	const workflows = 60
 	synctest.Test(t, func(t *testing.T) {
@@ -73,8 +73,8 @@
 }
 
 // TestUnresponsiveCellDelaysOnlyItsDelegationRequests guards against rounds of requests that last as long as the call
-// to a delegate cell which gives no answer: the states of tasks in other cells came a second late, and these cells
-// started nothing meanwhile.
+// to a delegate cell which gives no answer: the states of tasks in other cells come a second late, and these cells
+// start nothing meanwhile.
 func TestUnresponsiveCellDelaysOnlyItsDelegationRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var cells alternating
