--- a/internal/discovery/relayer/cache.go
+++ b/internal/discovery/relayer/cache.go
@@ -9,8 +9,8 @@
 
 // Errors of a source that has no reading to return.
 var (
-	errNotRead   = fmt.Errorf("the list isn't read yet: %w", cottonlanding.ErrUnavailable)
-	errNoReading = fmt.Errorf("the list wasn't read again in time: %w", cottonlanding.ErrUnavailable)
+	errNeverRead = fmt.Errorf("the list isn't read yet: %w", cottonlanding.ErrUnavailable)
+	errNotFresh  = fmt.Errorf("the list wasn't read again in time: %w", cottonlanding.ErrUnavailable)
 )
 
 // staleError reports that a source's reading is too old.
@@ -116,7 +116,7 @@
 
 // prune drops the changes recorded before an instant.
 func (c *tableCache) prune(before cottonlanding.Millis) {
-	firstKept := slices.IndexFunc(c.changes, func(n recordedChange) bool { return n.recordedAt >= before })
+	firstKept := slices.IndexFunc(c.changes, func(change recordedChange) bool { return change.recordedAt >= before })
 	if firstKept < 0 {
 		firstKept = len(c.changes)
 	}
@@ -127,10 +127,10 @@
 }
 
 // readingAfter returns the changes after a version, or the whole table if they are no longer all known. It returns
-// errNotRead before the table was read completely.
+// errNeverRead before the table was read completely.
 func (c *tableCache) readingAfter(after cottonlanding.Version) (cottonlanding.FeedReading, error) {
 	if !c.whole || c.completeAt == 0 {
-		return cottonlanding.FeedReading{}, errNotRead
+		return cottonlanding.FeedReading{}, errNeverRead
 	}
 	out := cottonlanding.FeedReading{Version: c.version, Whole: after < c.changesSince}
 	if out.Whole {
--- a/internal/discovery/relayer/relayer_test.go
+++ b/internal/discovery/relayer/relayer_test.go
@@ -48,10 +48,10 @@
 	return &list{clock: clock, rows: make(map[string]cottonlanding.FeedRow)}
 }
 
-func (l *list) put(key, meaning string) {
+func (l *list) put(key, attributes string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.write(key, meaning)
+	l.write(key, attributes)
 }
 
 // rewrite writes all entries again, as workers do as a sign of life.
@@ -59,14 +59,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, row := range l.rows {
-		said, _ := meaning(row.Value).(string)
-		l.write(key, said)
+		last, _ := attributes(row.Value).(string)
+		l.write(key, last)
 	}
 }
 
-func (l *list) write(key, meaning string) {
+func (l *list) write(key, attributes string) {
 	l.version++
-	row := cottonlanding.FeedRow{Key: key, Value: fmt.Appendf(nil, "%s|%d", meaning, l.version), Version: l.version}
+	row := cottonlanding.FeedRow{Key: key, Value: fmt.Appendf(nil, "%s|%d", attributes, l.version), Version: l.version}
 	l.rows[key] = row
 	l.changes = append(l.changes, row)
 }
@@ -121,7 +121,7 @@
 	return out, nil
 }
 
-func meaning(entry []byte) any {
+func attributes(entry []byte) any {
 	for at, b := range entry {
 		if b == '|' {
 			return string(entry[:at])
@@ -152,8 +152,8 @@
 func (r *reader) lastAttributes(key string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	said, found := r.known[key]
-	return said, found
+	last, found := r.known[key]
+	return last, found
 }
 
 // knownAt returns the time as of which the list is known.
@@ -165,7 +165,7 @@
 
 func newReader(clock cottonlanding.Clock, feed cottonlanding.Feed) *reader {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	relay := relayer.New(relayer.Dependencies{Feed: feed, Attributes: meaning, Clock: clock, Log: log}, timing)
+	relay := relayer.New(relayer.Dependencies{Feed: feed, Attributes: attributes, Clock: clock, Log: log}, timing)
 	return &reader{Relay: relay, known: make(map[string]string)}
 }
 
@@ -185,7 +185,7 @@
 			delete(r.known, row.Key)
 			continue
 		}
-		r.known[row.Key], _ = meaning(row.Value).(string)
+		r.known[row.Key], _ = attributes(row.Value).(string)
 	}
 	r.version, r.at, r.more = reading.Version, max(r.at, reading.At), reading.More
 	return nil
@@ -208,12 +208,12 @@
 	unresponsive *atomic.Bool
 }
 
-func (s unresponsiveSource) News(ctx context.Context, after cottonlanding.Version) (relayer.Response, error) {
+func (s unresponsiveSource) ChangesAfter(ctx context.Context, after cottonlanding.Version) (relayer.Response, error) {
 	if s.unresponsive.Load() {
 		<-ctx.Done()
 		return relayer.Response{}, cottonlanding.ErrAmbiguous
 	}
-	return s.Source.News(ctx, after)
+	return s.Source.ChangesAfter(ctx, after)
 }
 
 // deployment is a list of workers that rewrite their entries, and owners of which the first reads for all.
@@ -294,12 +294,12 @@
 // owner, also after the history is gone.
 func TestChangesReachAllOwners(t *testing.T) {
 	simulate(t, 5, 4, func(t *testing.T, _ cottonlanding.Clock, h *deployment) {
-		all := func(key, said string, there bool) {
+		all := func(key, attributes string, there bool) {
 			time.Sleep((2 * pollInterval).Duration())
 			for _, one := range h.readers {
 				got, found := one.lastAttributes(key)
 				require.Equal(t, there, found)
-				require.Equal(t, said, got)
+				require.Equal(t, attributes, got)
 			}
 		}
 		h.put("1", "draining")
@@ -332,8 +332,8 @@
 		h.put("1", "draining")
 		time.Sleep((3 * pollInterval).Duration())
 		for _, one := range h.readers {
-			said, _ := one.lastAttributes("1")
-			require.Equal(t, "draining", said)
+			last, _ := one.lastAttributes("1")
+			require.Equal(t, "draining", last)
 		}
 		h.unresponsive.Store(false)
 		time.Sleep((timing.FallbackPeriod + 2*pollInterval).Duration())
@@ -378,7 +378,7 @@
 func TestSourceUnavailableBeforeFirstReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
-		_, err := newReader(clock, newList(clock)).News(context.Background(), 0)
+		_, err := newReader(clock, newList(clock)).ChangesAfter(context.Background(), 0)
 		require.ErrorIs(t, err, cottonlanding.ErrUnavailable)
 	})
 }
