--- a/internal/discovery/relayer/relayer.go
+++ b/internal/discovery/relayer/relayer.go
@@ -17,14 +17,14 @@
 
 // Source is a process that reads the table for others.
 type Source interface {
-	// ChangesAfter returns the changes after a version, as of a fresh reading of the source. With version zero it returns the
+	// News returns the changes after a version, as of a fresh reading of the source. With version zero it returns the
 	// whole table as already known. It returns ErrUnavailable if there is no such reading within a short time.
-	ChangesAfter(ctx context.Context, after cottonlanding.Version) (Response, error)
+	News(ctx context.Context, after cottonlanding.Version) (Response, error)
 }
 
 // Response is the response of a source.
 type Response struct {
-	Reading cottonlanding.FeedReading
+	News cottonlanding.FeedReading
 	// Age is the time between the start of the source's reading and the arrival of the request. It is negative if the
 	// reading was started while the request waited.
 	Age cottonlanding.Millis
@@ -151,11 +151,11 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	sent := r.deps.Clock.Now()
-	response, err := source.ChangesAfter(ctx, version)
+	response, err := source.News(ctx, version)
 	if err != nil {
 		return cottonlanding.FeedReading{}, err
 	}
-	reading := response.Reading
+	reading := response.News
 	// The request can't have arrived before it was sent, so that this is no later than the time at which the source
 	// started its reading.
 	reading.At = sent - response.Age
@@ -212,21 +212,21 @@
 	return reading
 }
 
-// ChangesAfter implements Source for other processes.
-func (r *Relay) ChangesAfter(ctx context.Context, after cottonlanding.Version) (Response, error) {
+// News implements Source for other processes.
+func (r *Relay) News(ctx context.Context, after cottonlanding.Version) (Response, error) {
 	arrived := r.deps.Clock.Now()
 	if after > 0 && !r.awaitFreshReading(ctx, arrived-r.timing.FreshFor) {
 		return Response{}, errNotFresh
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	reading, err := r.tableCache.readingAfter(after)
+	readingAfter, err := r.tableCache.readingAfter(after)
 	if err != nil {
 		return Response{}, err
 	}
 	r.counts.Answered++
-	r.counts.AnsweredRows += int64(len(reading.Rows))
-	return Response{Reading: reading, Age: arrived - r.tableCache.completeAt}, nil
+	r.counts.AnsweredRows += int64(len(readingAfter.Rows))
+	return Response{News: readingAfter, Age: arrived - r.tableCache.completeAt}, nil
 }
 
 // awaitFreshReading waits up to FreshTimeout until the table is completely known as of an instant, and reports whether
--- a/internal/discovery/relayer/relayer_test.go
+++ b/internal/discovery/relayer/relayer_test.go
@@ -208,12 +208,12 @@
 	unresponsive *atomic.Bool
 }
 
-func (s unresponsiveSource) ChangesAfter(ctx context.Context, after cottonlanding.Version) (relayer.Response, error) {
+func (s unresponsiveSource) News(ctx context.Context, after cottonlanding.Version) (relayer.Response, error) {
 	if s.unresponsive.Load() {
 		<-ctx.Done()
 		return relayer.Response{}, cottonlanding.ErrAmbiguous
 	}
-	return s.Source.ChangesAfter(ctx, after)
+	return s.Source.News(ctx, after)
 }
 
 // deployment is a list of workers that rewrite their entries, and owners of which the first reads for all.
@@ -378,7 +378,7 @@
 func TestSourceUnavailableBeforeFirstReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
-		_, err := newReader(clock, newList(clock)).ChangesAfter(context.Background(), 0)
+		_, err := newReader(clock, newList(clock)).News(context.Background(), 0)
 		require.ErrorIs(t, err, cottonlanding.ErrUnavailable)
 	})
 }
--- a/internal/workflow/gateway/golden_test.go
+++ b/internal/workflow/gateway/golden_test.go
@@ -27,7 +27,7 @@
 // TestGoldenRelayedList guards against a relayed list of workers that a host of another version decodes differently.
 func TestGoldenRelayedList(t *testing.T) {
 	answer := relayer.Response{
-		Reading: cottonlanding.FeedReading{
+		News: cottonlanding.FeedReading{
 			Rows:  []cottonlanding.FeedRow{{Key: "text1", Value: []byte("text2"), Version: 3, Deleted: true}},
 			Whole: true, Version: 4,
 		},
--- a/internal/workflow/gateway/lists.go
+++ b/internal/workflow/gateway/lists.go
@@ -33,8 +33,8 @@
 	address   cottonlanding.Address
 }
 
-// ChangesAfter implements relayer.Source.
-func (p peerSource) ChangesAfter(ctx context.Context, after cottonlanding.Version) (relayer.Response, error) {
+// News implements relayer.Source.
+func (p peerSource) News(ctx context.Context, after cottonlanding.Version) (relayer.Response, error) {
 	connection, err := p.messenger.Connection(p.address)
 	if err != nil {
 		return relayer.Response{}, err
@@ -52,11 +52,11 @@
 
 func answerFromWire(answer *wire.ListAnswer) relayer.Response {
 	out := relayer.Response{
-		Reading: cottonlanding.FeedReading{Whole: answer.GetWhole(), Version: cottonlanding.Version(answer.GetVersion())},
-		Age:     cottonlanding.Millis(answer.GetAgeMs()),
+		News: cottonlanding.FeedReading{Whole: answer.GetWhole(), Version: cottonlanding.Version(answer.GetVersion())},
+		Age:  cottonlanding.Millis(answer.GetAgeMs()),
 	}
 	for _, row := range answer.GetRows() {
-		out.Reading.Rows = append(out.Reading.Rows, cottonlanding.FeedRow{
+		out.News.Rows = append(out.News.Rows, cottonlanding.FeedRow{
 			Key:     row.GetKey(),
 			Value:   row.GetValue(),
 			Version: cottonlanding.Version(row.GetVersion()),
@@ -68,11 +68,11 @@
 
 func answerToWire(answer relayer.Response) *wire.ListAnswer {
 	out := &wire.ListAnswer{
-		Whole:   answer.Reading.Whole,
-		Version: uint64(answer.Reading.Version),
+		Whole:   answer.News.Whole,
+		Version: uint64(answer.News.Version),
 		AgeMs:   int64(answer.Age),
 	}
-	for _, row := range answer.Reading.Rows {
+	for _, row := range answer.News.Rows {
 		out.Rows = append(out.Rows, &wire.ListRow{
 			Key:     row.Key,
 			Value:   row.Value,
@@ -91,7 +91,7 @@
 
 // News implements wire.ListsServer.
 func (s *listServer) News(ctx context.Context, question *wire.ListQuestion) (*wire.ListAnswer, error) {
-	answer, err := s.source.ChangesAfter(ctx, cottonlanding.Version(question.GetAfter()))
+	answer, err := s.source.News(ctx, cottonlanding.Version(question.GetAfter()))
 	if err != nil {
 		return &wire.ListAnswer{Code: messenger.CodeOf(err), Detail: err.Error()}, nil
 	}
