--- a/internal/discovery/discoverer/discoverer.go
+++ b/internal/discovery/discoverer/discoverer.go
@@ -34,15 +34,18 @@
 	clock  cottonlanding.Clock
 	log    *slog.Logger
 
-	mu           sync.Mutex
-	stop         context.CancelFunc
-	known        bool
-	workers      map[cottonlanding.WorkerID]cottonlanding.WorkerInfo
+	mu    sync.Mutex
+	stop  context.CancelFunc
+	known bool
+	// workers holds the listed workers by ID, including those whose entries are missing.
+	workers map[cottonlanding.WorkerID]cottonlanding.WorkerInfo
+	// missingSince holds the time since which the entry of a listed worker has been missing.
 	missingSince map[cottonlanding.WorkerID]cottonlanding.Millis
 	// refusals holds the reason for each present entry that was refused.
 	refusals map[cottonlanding.WorkerID]string
-	list     []cottonlanding.WorkerInfo
-	// readAt is the time as of which the list is complete, zero if it never was.
+	// list is workers sorted by ID.
+	list []cottonlanding.WorkerInfo
+	// readAt is the time as of which the list is complete, zero while the list is unknown.
 	readAt cottonlanding.Millis
 }
 
@@ -75,7 +78,7 @@
 	return d.list, d.known
 }
 
-// ReadAt returns the time as of which the list is complete, zero if it never was.
+// ReadAt returns the time as of which the list is complete, zero while the list is unknown.
 func (d *Discoverer) ReadAt() cottonlanding.Millis {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,8 +174,9 @@
 	}
 }
 
-// refuse removes a worker with an unusable entry from the list at once: unlike a missing entry, an unusable one is
-// certainly not what the worker has written. It reports whether the list changes.
+// refuse removes a worker with an unusable entry from the list at once, without RemovalDelay: an entry can be missing
+// briefly, but an unusable one has replaced the worker's own, as when another writer overwrites it. It reports whether
+// the list changes.
 func (d *Discoverer) refuse(id cottonlanding.WorkerID, cause error) bool {
 	if reason := cause.Error(); d.refusals[id] != reason {
 		d.refusals[id] = reason
--- a/internal/discovery/relayer/cache.go
+++ b/internal/discovery/relayer/cache.go
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("the source's reading is %s old", e.age)
 }
 
-// outdatedError reports that a source knows an older version of the table than this process.
+// outdatedError reports that a source knows an older version of the table than this host.
 type outdatedError struct{ received, known cottonlanding.Version }
 
 // Error implements error.
@@ -39,13 +39,14 @@
 	// changesSince is the version after which changes is complete.
 	changesSince cottonlanding.Version
 	version      cottonlanding.Version
-	// whole reports whether the whole table was read.
+	// whole reports whether a whole reading was received.
 	whole bool
-	// completeAt is the time as of which the table is completely known, zero if it never was.
+	// completeAt is the time as of which the table is completely known. It is zero before the first reading with At,
+	// which a reading of changes lacks while more are available.
 	completeAt cottonlanding.Millis
 }
 
-// cachedEntry is an entry as of its last change of attributes.
+// cachedEntry is an entry as of its last change of attributes; row is its row of the table.
 type cachedEntry struct {
 	row        cottonlanding.FeedRow
 	attributes any
@@ -77,6 +78,8 @@
 	if reading.Whole {
 		changed = reading.Rows
 	}
+	// The first whole reading isn't recorded, as the versions before it are unknown. Later ones are recorded as changes,
+	// so that requests after older versions still get only changes.
 	if reading.Whole && !c.whole {
 		c.whole, c.changesSince, c.changes = true, reading.Version, nil
 	}
--- a/internal/discovery/relayer/relayer.go
+++ b/internal/discovery/relayer/relayer.go
@@ -1,10 +1,11 @@
-// Package relayer lets one process read a table and relay its changes to the others.
+// Package relayer lets one host read a table and relay its changes to the others.
 //
-// Workers rewrite their entries in the list every second or so as a sign of life, and the table's feed delivers each of
-// these rewrites to each reader. If every owner of a cell read the feed, the rows read would grow with owners times
-// workers. Instead one process, the source, reads the feed. The others send requests to the source, which returns
-// only entries whose attributes have changed. Versions are those of the table, so that a process can continue from a
-// source's version with another source, or with the feed itself if no source answers.
+// The table is the list of workers, and an entry is a row of it. Workers rewrite their entries every second or so as a
+// sign of life, and the table's feed delivers each of these rewrites to each reader. If every owner of a cell read the
+// feed, the rows read would grow with owners times workers. Instead one host, the source, reads the feed. The others
+// send requests to the source, which returns only entries whose attributes have changed. Versions are those of the
+// table, so that a host can continue from a source's version with another source, or with the feed itself if no source
+// answers.
 package relayer
 
 import (
@@ -15,15 +16,18 @@
 	"github.com/cottonlanding/cottonlanding"
 )
 
-// Source is a process that reads the table for others.
+// Source is a host that reads the table for others.
 type Source interface {
-	// News returns the changes after a version, as of a fresh reading of the source. With version zero it returns the
-	// whole table as already known. It returns ErrUnavailable if there is no such reading within a short time.
+	// News returns the changes after a version, as of a fresh reading of the source, or the whole table if they are no
+	// longer all known. With version zero it returns the whole table as already known. It returns ErrUnavailable if the
+	// source has never read the whole table or, with a version above zero, has no fresh reading within
+	// Timing.FreshTimeout.
 	News(ctx context.Context, after cottonlanding.Version) (Response, error)
 }
 
 // Response is the response of a source.
 type Response struct {
+	// News holds the changes, or the whole table if Whole is set.
 	News cottonlanding.FeedReading
 	// Age is the time between the start of the source's reading and the arrival of the request. It is negative if the
 	// reading was started while the request waited.
@@ -73,7 +77,7 @@
 	direct      bool
 
 	mu sync.Mutex
-	// choose returns the source to use, or nil if this process reads the feed.
+	// choose returns the source to use, or nil if this host reads the feed.
 	choose     func() Source
 	tableCache *tableCache
 	counts     Counts
@@ -170,7 +174,7 @@
 	return r.apply(reading, func(c *Counts) { c.Relayed, c.RelayedRows = c.Relayed+1, c.RelayedRows+int64(len(reading.Rows)) }), nil
 }
 
-// version returns the version of the table known to this process.
+// version returns the version of the table known to this host.
 func (r *Relay) version() cottonlanding.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -198,7 +202,7 @@
 	}
 }
 
-// apply caches a reading for requests of other processes. It returns the reading without unchanged entries, unless it
+// apply caches a reading for requests of other hosts. It returns the reading without unchanged entries, unless it
 // is a whole one.
 func (r *Relay) apply(reading cottonlanding.FeedReading, count func(*Counts)) cottonlanding.FeedReading {
 	r.mu.Lock()
@@ -212,7 +216,7 @@
 	return reading
 }
 
-// News implements Source for other processes.
+// News implements Source for other hosts.
 func (r *Relay) News(ctx context.Context, after cottonlanding.Version) (Response, error) {
 	arrived := r.deps.Clock.Now()
 	if after > 0 && !r.awaitFreshReading(ctx, arrived-r.timing.FreshFor) {
--- a/internal/discovery/relayer/relayer_test.go
+++ b/internal/discovery/relayer/relayer_test.go
@@ -374,7 +374,7 @@
 	})
 }
 
-// TestSourceUnavailableBeforeFirstReading guards against an empty list from a process that hasn't read the list yet.
+// TestSourceUnavailableBeforeFirstReading guards against an empty list from a host that hasn't read the list yet.
 func TestSourceUnavailableBeforeFirstReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := cottonlanding.NewClock()
--- a/internal/operators/reader/reader.go
+++ b/internal/operators/reader/reader.go
@@ -47,8 +47,8 @@
 			r.log.Info("operators' table is read again", "After", version)
 			version = 0
 		case err != nil:
-			// The feed delivers every intermediate version, and a slow link can't carry some ten a
-			// second. A read of the whole table returns the newest versions only.
+			// The whole table is read, which returns only the newest version of each row. The feed delivers every
+			// intermediate version, which a slow link can't carry within Timeout at about ten changes a second.
 			version = 0
 			pauser.Pause(ctx, r.timing.Pause)
 		case next == 0:
--- a/internal/operators/sharer/copy.go
+++ b/internal/operators/sharer/copy.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxPacked is the maximum length of a written copy, in bytes: the table accepts rows of 64 KiB, including
+	// maxPacked is the maximum length of a written copy, in bytes: the store accepts rows of 64 KiB, including
 	// what precedes the value.
 	maxPacked = 65_000
 	// maxUnpacked is the maximum unpacked length, in bytes, so that a broken copy can't exhaust memory.
--- a/internal/operators/sharer/sharer.go
+++ b/internal/operators/sharer/sharer.go
@@ -2,9 +2,10 @@
 //
 // Operators' rows are long, and each host must learn of each change: if every host read it from the table, a change
 // would cost its length times the number of hosts. Instead the owner of the first cell writes a packed copy into a
-// watched row, whose changes the table sends to all hosts anyway. Hosts that own no cell wait for the copy
-// and still read the table as often as they would without it. Most of these reads find nothing new, and a copy that is
-// late, outdated, broken or missing costs bytes but no time.
+// watched row of the store, which sends changes of watched rows to all hosts anyway. Hosts that own no cell wait for
+// the copy and still read the operators' table as often as they would without it; most of these reads find nothing new.
+// If a copy is late, outdated, broken or missing, each host reads the change from the operators' table itself, at the
+// latest when the wait since its last read of that table is over. This costs the change's length once per host.
 package sharer
 
 import (
@@ -42,7 +43,7 @@
 type Dependencies struct {
 	// Feed is the operators' table itself.
 	Feed cottonlanding.Feed
-	// Table holds the copy in the watched row Key, and Watcher reports its changes.
+	// Table is the store, which holds the copy in the watched row Key. Watcher reports the row's changes.
 	Table   cottonlanding.Table
 	Key     cottonlanding.Key
 	Watcher Watcher
@@ -113,7 +114,7 @@
 			s.count(func(c *Counts) { c.CopiesRead++ })
 			return reading, nil
 		}
-		wait = 0
+		wait = 0 // the wait since the last read of the table is over
 	}
 	s.tableReadAt = s.deps.Clock.Now()
 	reading, err := s.deps.Feed.Read(ctx, version, wait)
@@ -213,7 +214,7 @@
 	return out
 }
 
-// write writes a copy. After a failure the other hosts learn of the change by their own reads of the table.
+// write writes a copy. After a failure the other hosts learn of the change by their own reads of the operators' table.
 func (s *Sharer) write(ctx context.Context) {
 	next := s.currentCopy()
 	packed, err := next.pack()
