--- a/internal/discovery/relayer/cache.go
+++ b/internal/discovery/relayer/cache.go
@@ -9,8 +9,8 @@
 
 // Errors of a source that has no reading to return.
 var (
-	errNotRead   = fmt.Errorf("the list isn't read yet: %w", cottonlanding.ErrUnavailable)
-	errNoReading = fmt.Errorf("the list wasn't read again in time: %w", cottonlanding.ErrUnavailable)
+	errNeverRead = fmt.Errorf("the list isn't read yet: %w", cottonlanding.ErrUnavailable)
+	errNotFresh  = fmt.Errorf("the list wasn't read again in time: %w", cottonlanding.ErrUnavailable)
 )
 
 // staleError reports that a source's reading is too old.
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("the source's reading is %s old", e.age)
 }
 
-// outdatedError reports that a source knows an older version of the table than this process.
+// outdatedError reports that a source knows an older version of the table than this host.
 type outdatedError struct{ received, known cottonlanding.Version }
 
 // Error implements error.
@@ -39,13 +39,14 @@
 	// changesSince is the version after which changes is complete.
 	changesSince cottonlanding.Version
 	version      cottonlanding.Version
-	// whole reports whether the whole table was read.
+	// whole reports whether a whole reading was received.
 	whole bool
-	// completeAt is the time as of which the table is completely known, zero if it never was.
+	// completeAt is the time as of which the table is completely known. It is zero before the first reading with At,
+	// which a reading of changes lacks while more are available.
 	completeAt cottonlanding.Millis
 }
 
-// cachedEntry is an entry as of its last change of attributes.
+// cachedEntry is an entry as of its last change of attributes; row is its row of the table.
 type cachedEntry struct {
 	row        cottonlanding.FeedRow
 	attributes any
@@ -77,6 +78,8 @@
 	if reading.Whole {
 		changed = reading.Rows
 	}
+	// The first whole reading isn't recorded, as the versions before it are unknown. Later ones are recorded as changes,
+	// so that requests after older versions still get only changes.
 	if reading.Whole && !c.whole {
 		c.whole, c.changesSince, c.changes = true, reading.Version, nil
 	}
@@ -116,7 +119,7 @@
 
 // prune drops the changes recorded before an instant.
 func (c *tableCache) prune(before cottonlanding.Millis) {
-	firstKept := slices.IndexFunc(c.changes, func(n recordedChange) bool { return n.recordedAt >= before })
+	firstKept := slices.IndexFunc(c.changes, func(change recordedChange) bool { return change.recordedAt >= before })
 	if firstKept < 0 {
 		firstKept = len(c.changes)
 	}
@@ -127,10 +130,10 @@
 }
 
 // readingAfter returns the changes after a version, or the whole table if they are no longer all known. It returns
-// errNotRead before the table was read completely.
+// errNeverRead before the table was read completely.
 func (c *tableCache) readingAfter(after cottonlanding.Version) (cottonlanding.FeedReading, error) {
 	if !c.whole || c.completeAt == 0 {
-		return cottonlanding.FeedReading{}, errNotRead
+		return cottonlanding.FeedReading{}, errNeverRead
 	}
 	out := cottonlanding.FeedReading{Version: c.version, Whole: after < c.changesSince}
 	if out.Whole {
