--- a/internal/workflow/planner/blamerestarts_test.go
+++ b/internal/workflow/planner/blamerestarts_test.go
@@ -109,8 +109,8 @@
 }
 
 // TestOneOfManyRunsIsInnocent guards against giving up an innocent workflow after two unrelated crashes. At the first,
-// many tasks have begun on the worker within recentWindow and none within promptWindow, so that none is a suspect; at
-// the second, one of them has begun within promptWindow.
+// many tasks have begun on the worker within recentWindow and none within promptWindow: none stands out, but each was
+// counted as a likely cause. At the second, at least one of them has begun again within promptWindow, and was given up.
 func TestOneOfManyRunsIsInnocent(t *testing.T) {
 	w := newWorldWithBirths(t)
 	w.submit("slow", "Urgent", quickOn("w1", 6))
--- a/internal/workflow/planner/crash_test.go
+++ b/internal/workflow/planner/crash_test.go
@@ -103,8 +103,9 @@
 	}
 }
 
-// TestEndedLifeIsPolledOnce guards against polling ended lives again and again: the answer of another life has the
-// owner forget the life, and its list entry, which stays for seconds, must not make it known again.
+// TestEndedLifeIsPolledOnce guards against polling ended lives again and again, which fills the log and costs calls:
+// the answer of another life has the owner forget the life, and its list entry, which stays for seconds, must not make
+// it known again.
 func TestEndedLifeIsPolledOnce(t *testing.T) {
 	c := newCrashWorld(newWorld(t), firstTask("culprit"))
 	c.play(cottonlanding.Second)
--- a/internal/workflow/planner/forecast.go
+++ b/internal/workflow/planner/forecast.go
@@ -33,9 +33,9 @@
 }
 
 // late reports whether a workflow can no longer meet its objective. Late workflows with lasting tasks are ranked after
-// the others of their priority (rankAll): they can wait, while short workflows are worth most if they end soon. Lasting
-// tasks without an estimate add nothing to the chain, so that the objective of a workflow with only such tasks is its
-// latency target.
+// those of their priority that are not late, unless a task of theirs is interrupted (compareRanks): they can wait,
+// while short workflows are worth most if they end soon. Lasting tasks without an estimate add nothing to the chain, so
+// that the objective of a workflow with only such tasks is its latency target.
 func (j *job) late(now cottonlanding.Millis) bool {
 	return j.queue.Stretch > 0 && j.Schedule.Rounds == 0 && j.slack(now) < 0
 }
--- a/internal/workflow/planner/logbatch.go
+++ b/internal/workflow/planner/logbatch.go
@@ -87,8 +87,9 @@
 		"SilentFor", silent, "LastAnswer", now-w.lastAnswerAt, "Why", why)
 }
 
-// logSkippedEnds logs the ends in an answer whose consequences are already committed. A worker lists such an end again
-// if it was not told yet that it may forget it, or if it did not forget it.
+// logSkippedEnds logs the ends in an answer that count as committed by their numbers. A worker lists an end again until
+// it is told that it may forget it. One that was told no longer has it, so that such an end may be a new one under an
+// old number, of a life that was not recognized; its task is then started again although it may be done.
 func (c *Cell) logSkippedEnds(w *worker, ends []cottonlanding.RunEnd) {
 	var skipped []string
 	for _, end := range ends {
--- a/internal/workflow/planner/preempt.go
+++ b/internal/workflow/planner/preempt.go
@@ -18,7 +18,8 @@
 	holdAfter = 5 * cottonlanding.Second
 	// holdTimeout is how long a worker is held for a task at most.
 	holdTimeout = 4 * cottonlanding.Second
-	// workersPerHold is the number of workers of a cell per held one: each held worker delays short tasks.
+	// workersPerHold is the number of workers of a cell per held one. Each held worker delays short tasks, so that as
+	// few are held as suffice: among 48 workers, one was enough for lasting tasks to start in time.
 	workersPerHold = 48
 	// workersPerInterruptedHold is workersPerHold for interrupted tasks, each of which has to start in time.
 	workersPerInterruptedHold = 4
