--- a/internal/workflow/gateway/cellroom.go
+++ b/internal/workflow/gateway/cellroom.go
@@ -72,8 +72,8 @@
 	// lasting is the fraction of capacity that lasting tasks use or wait for.
 	lasting float64
 	// largest is what the worker with the most free CPU has free, holes the free CPU of single workers, both by service.
-	largest map[cottonlanding.ServiceName]cottonlanding.Resources
-	holes   map[cottonlanding.ServiceName][]cottonlanding.Millicores
+	largest      map[cottonlanding.ServiceName]cottonlanding.Resources
+	freeByWorker map[cottonlanding.ServiceName][]cottonlanding.Millicores
 }
 
 // deductReferred subtracts recently referred work from a cell's capacity, since the owner's report may not include it
@@ -102,21 +102,21 @@
 	o.lasting += float64(cpu) / float64(o.capacity)
 	o.Free -= float64(cpu) / float64(o.capacity)
 	best := -1
-	for at, hole := range o.holes[service] {
-		if hole >= cpu && (best < 0 || hole < o.holes[service][best]) {
+	for at, free := range o.freeByWorker[service] {
+		if free >= cpu && (best < 0 || free < o.freeByWorker[service][best]) {
 			best = at
 		}
 	}
 	if best >= 0 {
-		o.holes[service][best] -= cpu
+		o.freeByWorker[service][best] -= cpu
 	}
 }
 
-// hole returns the most free CPU of a single worker, with delegated tasks subtracted.
-func (o otherCell) hole(service cottonlanding.ServiceName) cottonlanding.Millicores {
+// maxFreeOnWorker returns the most free CPU of a single worker, with delegated tasks subtracted.
+func (o otherCell) maxFreeOnWorker(service cottonlanding.ServiceName) cottonlanding.Millicores {
 	most := cottonlanding.Millicores(0)
-	for _, hole := range o.holes[service] {
-		most = max(most, hole)
+	for _, free := range o.freeByWorker[service] {
+		most = max(most, free)
 	}
 	return most
 }
@@ -144,8 +144,8 @@
 func (p *participant) view(homes int, now cottonlanding.Millis) otherCell {
 	latestReport, usable := p.latestReport()
 	cell := otherCell{viewOf(p.cell, latestReport, usable), latestReport.Capacity, latestReport.Lasting, latestReport.Largest, make(map[cottonlanding.ServiceName][]cottonlanding.Millicores)}
-	for service, holes := range latestReport.Holes {
-		cell.holes[service] = slices.Clone(holes) // deductDelegated changes it
+	for service, free := range latestReport.Holes {
+		cell.freeByWorker[service] = slices.Clone(free) // deductDelegated changes it
 	}
 	return p.deductReferred(cell, homes, now)
 }
@@ -155,9 +155,9 @@
 	return cpu == 0 || o.Usable && o.lasting+float64(cpu)/float64(o.capacity) <= 1
 }
 
-// cellsWithLastingRoom returns the cells with capacity for all lasting tasks of a workflow or, if there are none, those
+// cellsWithLastingCapacity returns the cells with capacity for all lasting tasks of a workflow or, if there are none, those
 // with capacity for the fewest with which it can start.
-func cellsWithLastingRoom(workflow cottonlanding.Workflow, others []otherCell) []otherCell {
+func cellsWithLastingCapacity(workflow cottonlanding.Workflow, others []otherCell) []otherCell {
 	for _, tasks := range []func(cottonlanding.Step) int{allTasks, minTasks} {
 		cpu := lastingCPU(workflow, tasks)
 		fitting := slices.DeleteFunc(slices.Clone(others), func(o otherCell) bool { return !o.fitsLasting(cpu) })
@@ -175,7 +175,7 @@
 		return local.Report()
 	}
 	known := p.holder.View()
-	if len(known.Report) == 0 || known.BeatAge > ownerSilenceTimeout {
+	if len(known.Report) == 0 || known.BeatAge > maxHeartbeatAge {
 		return planner.Report{}, false
 	}
 	var latestReport planner.Report
@@ -192,14 +192,14 @@
 
 // referralTarget returns the cell to which a new workflow of this home cell is referred, and false if it stays.
 func (p *participant) referralTarget(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
-	return p.choose(workflow, report, usable, p.others())
+	return p.chooseCell(workflow, report, usable, p.others())
 }
 
 // handOverTarget returns the cell to which a workflow that waits at this home cell is handed over, and false if it
 // stays. A workflow can be handed over only once, since only its home records where it is. Therefore one with lasting
 // tasks waits here until a cell has capacity for them, even if fewer tasks wait elsewhere.
 func (p *participant) handOverTarget(workflow cottonlanding.Workflow, report planner.Report, usable bool) (cottonlanding.CellNumber, bool) {
-	return p.choose(workflow, report, usable, cellsWithLastingRoom(workflow, p.others()))
+	return p.chooseCell(workflow, report, usable, cellsWithLastingCapacity(workflow, p.others()))
 }
 
 // others returns what is known of all other cells.
@@ -215,7 +215,7 @@
 	return out
 }
 
-func (p *participant) choose(workflow cottonlanding.Workflow, report planner.Report, usable bool, others []otherCell) (cottonlanding.CellNumber, bool) {
+func (p *participant) chooseCell(workflow cottonlanding.Workflow, report planner.Report, usable bool, others []otherCell) (cottonlanding.CellNumber, bool) {
 	if len(others) == 0 {
 		return 0, false
 	}
--- a/internal/workflow/gateway/delegation.go
+++ b/internal/workflow/gateway/delegation.go
@@ -45,26 +45,26 @@
 // with a single worker that has enough free. Tasks that wait in such a cell are too large for that worker; otherwise
 // they would run there already.
 func candidatesFor(task planner.DelegableTask, others []otherCell) []cottonlanding.CellView {
-	var inTotal, inHoles []cottonlanding.CellView
+	var withCapacity, withFreeWorker []cottonlanding.CellView
 	for _, other := range others {
 		view := other.CellView
 		switch {
 		case other.rejection(task) != notRejected:
-		case other.hasTotalRoom(task):
-			inTotal = append(inTotal, view)
+		case other.hasFreeCapacity(task):
+			withCapacity = append(withCapacity, view)
 		default:
-			view.Free = float64(other.hole(task.Service)) / float64(other.capacity)
-			inHoles = append(inHoles, view)
+			view.Free = float64(other.maxFreeOnWorker(task.Service)) / float64(other.capacity)
+			withFreeWorker = append(withFreeWorker, view)
 		}
 	}
-	if len(inTotal) > 0 {
-		return inTotal
+	if len(withCapacity) > 0 {
+		return withCapacity
 	}
-	return inHoles
+	return withFreeWorker
 }
 
-// hasTotalRoom reports whether the task fits in the cell beside all tasks that run or wait there.
-func (o otherCell) hasTotalRoom(task planner.DelegableTask) bool {
+// hasFreeCapacity reports whether the task fits in the cell beside all tasks that run or wait there.
+func (o otherCell) hasFreeCapacity(task planner.DelegableTask) bool {
 	return o.Free > 0 && o.fitsLasting(task.Need.CPU)
 }
 
@@ -77,10 +77,10 @@
 	unknownCapacity rejection = "Unknown"
 	// returnedByCell: the cell has returned the task.
 	returnedByCell rejection = "Returned"
-	// full: running and waiting tasks need all capacity of the cell, and no single worker has enough free.
-	full rejection = "Full"
-	// workersTooSmall: the task doesn't fit on any worker of the cell.
-	workersTooSmall rejection = "NoWorker"
+	// noCapacityLeft: running and waiting tasks need all capacity of the cell, and no single worker has enough free.
+	noCapacityLeft rejection = "Full"
+	// noWorkerFits: the task doesn't fit on any worker of the cell.
+	noWorkerFits rejection = "NoWorker"
 )
 
 // rejection returns why the cell can't run a task of another cell, or notRejected.
@@ -91,9 +91,9 @@
 	case slices.Contains(task.Avoid, o.Cell):
 		return returnedByCell
 	case !task.Need.Fits(o.largest[task.Service]):
-		return workersTooSmall
-	case !o.hasTotalRoom(task) && o.hole(task.Service) < task.Need.CPU:
-		return full
+		return noWorkerFits
+	case !o.hasFreeCapacity(task) && o.maxFreeOnWorker(task.Service) < task.Need.CPU:
+		return noCapacityLeft
 	}
 	return notRejected
 }
--- a/internal/workflow/gateway/gateway.go
+++ b/internal/workflow/gateway/gateway.go
@@ -118,8 +118,8 @@
 	// watchesMu guards the owner watches of all cells.
 	watchesMu sync.Mutex
 
-	mu     sync.Mutex
-	closed bool
+	mu   sync.Mutex
+	left bool
 }
 
 // New starts to follow the owners of all cells, and to take over cells that have no owner. The error is that of the
@@ -151,7 +151,7 @@
 	deps.Lists.ChooseBy(g.listSource)
 	g.layoutLoop = repeater.New(layoutInterval, g.followLayout)
 	g.watcher.Listen(layoutKey, g.layoutLoop.Nudge)
-	g.referralsLoop = repeater.New(referralsInterval, g.resolveReferrals)
+	g.referralsLoop = repeater.New(referralsInterval, g.resolveReferredAndDelegated)
 	return g, nil
 }
 
@@ -291,11 +291,11 @@
 
 // callFollowingReferral calls the home cell of a workflow and, if that has referred the workflow, the cell that has it.
 func (g *Gateway) callFollowingReferral(id cottonlanding.WorkflowID, call func(*participant) error) error {
-	s, err := g.home(id)
+	home, err := g.home(id)
 	if err != nil {
 		return err
 	}
-	err = call(s)
+	err = call(home)
 	var referred *driver.ReferredError
 	if !errors.As(err, &referred) {
 		return err
@@ -330,7 +330,7 @@
 // until Close.
 func (g *Gateway) Leave(ctx context.Context) {
 	g.mu.Lock()
-	g.closed = true
+	g.left = true
 	g.mu.Unlock()
 	g.updateWatches()
 	var released sync.WaitGroup
@@ -344,7 +344,7 @@
 func (g *Gateway) leaving() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.closed
+	return g.left
 }
 
 // Close stops all activity of the gateway without releasing its cells.
--- a/internal/workflow/gateway/gateway_test.go
+++ b/internal/workflow/gateway/gateway_test.go
@@ -372,9 +372,9 @@
 	t.Logf("a workflow was accepted %s after the owner began to leave", took)
 }
 
-// TestTableUnavailable guards against calls that wait for their time limit while the table is unavailable, and against
+// TestTableUnavailableFailsCallsFast guards against calls that wait for their time limit while the table is unavailable, and against
 // hosts that don't recover with it.
-func TestTableUnavailable(t *testing.T) {
+func TestTableUnavailableFailsCallsFast(t *testing.T) {
 	d := deploy(t)
 	old := d.owner()
 	d.submit(old, workflow("before"))
--- a/internal/workflow/gateway/golden_test.go
+++ b/internal/workflow/gateway/golden_test.go
@@ -33,7 +33,7 @@
 		},
 		Age: -5,
 	}
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(gateway.AnswerToWire(answer))
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(gateway.ResponseToWire(answer))
 	require.NoError(t, err)
 	comparer.RequireList(t, "ListAnswer", hex.EncodeToString(data))
 	golden, err := os.ReadFile("testdata/golden/ListAnswer.txt")
@@ -42,5 +42,5 @@
 	require.NoError(t, err)
 	var read wire.ListAnswer
 	require.NoError(t, proto.Unmarshal(kept, &read))
-	require.Equal(t, answer, gateway.AnswerFromWire(&read))
+	require.Equal(t, answer, gateway.ResponseFromWire(&read))
 }
--- a/internal/workflow/gateway/handover_test.go
+++ b/internal/workflow/gateway/handover_test.go
@@ -28,10 +28,10 @@
 	return best.Cell, d.enabled.Load() && best.Cell != home.Cell
 }
 
-// TestWaitingWorkflowsMove guards against workflows that are lost, not found or started twice while they are handed
+// TestHandedOverWorkflowsSurviveOwnerKills guards against workflows that are lost, not found or started twice while they are handed
 // over and all owners are killed one after another. Lasting workflows that need seven eighths of all workers are first
 // placed by their ids alone, so that some wait while other cells have room.
-func TestWaitingWorkflowsMove(t *testing.T) {
+func TestHandedOverWorkflowsSurviveOwnerKills(t *testing.T) {
 	referral := &delayedReferral{}
 	d := deployWithReferral(t, cells, referral)
 	d.awaitOwners()
--- a/internal/workflow/gateway/lists.go
+++ b/internal/workflow/gateway/lists.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	view := first.holder.View()
-	if view.Owner.ID == "" || view.Owner.Member == g.settings.Self || view.BeatAge > ownerSilenceTimeout {
+	if view.Owner.ID == "" || view.Owner.Member == g.settings.Self || view.BeatAge > maxHeartbeatAge {
 		return nil
 	}
 	return peerSource{messenger: g.messenger, owner: view.Owner.ID, address: view.Owner.Address}
@@ -47,10 +47,10 @@
 	if err := messenger.ErrorOf(answer.GetCode(), answer.GetDetail()); err != nil {
 		return relayer.Response{}, err
 	}
-	return answerFromWire(answer), nil
+	return responseFromWire(answer), nil
 }
 
-func answerFromWire(answer *wire.ListAnswer) relayer.Response {
+func responseFromWire(answer *wire.ListAnswer) relayer.Response {
 	out := relayer.Response{
 		News: cottonlanding.FeedReading{Whole: answer.GetWhole(), Version: cottonlanding.Version(answer.GetVersion())},
 		Age:  cottonlanding.Millis(answer.GetAgeMs()),
@@ -66,13 +66,13 @@
 	return out
 }
 
-func answerToWire(answer relayer.Response) *wire.ListAnswer {
+func responseToWire(response relayer.Response) *wire.ListAnswer {
 	out := &wire.ListAnswer{
-		Whole:   answer.News.Whole,
-		Version: uint64(answer.News.Version),
-		AgeMs:   int64(answer.Age),
+		Whole:   response.News.Whole,
+		Version: uint64(response.News.Version),
+		AgeMs:   int64(response.Age),
 	}
-	for _, row := range answer.News.Rows {
+	for _, row := range response.News.Rows {
 		out.Rows = append(out.Rows, &wire.ListRow{
 			Key:     row.Key,
 			Value:   row.Value,
@@ -91,9 +91,9 @@
 
 // News implements wire.ListsServer.
 func (s *listServer) News(ctx context.Context, question *wire.ListQuestion) (*wire.ListAnswer, error) {
-	answer, err := s.source.News(ctx, cottonlanding.Version(question.GetAfter()))
+	response, err := s.source.News(ctx, cottonlanding.Version(question.GetAfter()))
 	if err != nil {
 		return &wire.ListAnswer{Code: messenger.CodeOf(err), Detail: err.Error()}, nil
 	}
-	return answerToWire(answer), nil
+	return responseToWire(response), nil
 }
--- a/internal/workflow/gateway/ownercalls.go
+++ b/internal/workflow/gateway/ownercalls.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// ownerSilenceTimeout is the maximum age of an owner's heartbeat for calls to be sent to it, a little more than
+	// maxHeartbeatAge is the maximum age of an owner's heartbeat for calls to be sent to it, a little more than
 	// three polls. Calls to a silent owner are refused at once: their outcome would be unknown.
-	ownerSilenceTimeout = 1100 * cottonlanding.Millis(1)
+	maxHeartbeatAge = 1100 * cottonlanding.Millis(1)
 	// unreachableBackoff is how long a host that can reach neither the table nor the owner refuses calls before it tries
 	// the owner again.
 	unreachableBackoff = cottonlanding.Second
@@ -41,7 +41,7 @@
 	if owner.ID == "" || owner.Member == p.gateway.settings.Self {
 		return nil, fmt.Errorf("no owner of cell %s is known: %w", p.cell, cottonlanding.ErrUnavailable)
 	}
-	if age := p.holder.View().BeatAge; age > ownerSilenceTimeout && !p.holder.Slow() {
+	if age := p.holder.View().BeatAge; age > maxHeartbeatAge && !p.holder.Slow() {
 		return nil, fmt.Errorf("nothing was seen of owner %s for %s: %w", owner.ID, age, cottonlanding.ErrUnavailable)
 	}
 	if until := p.unreachableUntil.Load(); p.gateway.deps.Clock.Now() < cottonlanding.Millis(until) {
--- a/internal/workflow/gateway/referrals.go
+++ b/internal/workflow/gateway/referrals.go
@@ -14,9 +14,9 @@
 	maxReferralsPerPass = 20
 )
 
-// resolveReferrals asks the cells to which this host's cells have referred or delegated workflows whether they still
+// resolveReferredAndDelegated asks the cells to which this host's cells have referred or delegated workflows whether they still
 // have them, and drops the records of those that they don't.
-func (g *Gateway) resolveReferrals(ctx context.Context) {
+func (g *Gateway) resolveReferredAndDelegated(ctx context.Context) {
 	for _, p := range *g.participants.Load() {
 		local := p.local()
 		if local == nil {
--- a/internal/workflow/gateway/timing.go
+++ b/internal/workflow/gateway/timing.go
@@ -13,9 +13,9 @@
 	holderTTL     = 1200 * cottonlanding.Millis(1)
 	holderPoll    = 300 * cottonlanding.Millis(1)
 	holderTimeout = 600 * cottonlanding.Millis(1)
-	// holderRestPoll is the poll interval of hosts that leave the cells to larger ones, nine in ten of a deployment of
+	// holderIdlePoll is the poll interval of hosts that leave the cells to larger ones, nine in ten of a deployment of
 	// 147 hosts. They notice a silent owner within three polls.
-	holderRestPoll = 2 * holderPoll
+	holderIdlePoll = 2 * holderPoll
 	// holderDelayPerOwned is the additional delay of a host for each cell that it owns already. It is as long as the
 	// jitter, so that hosts without a cell go first.
 	holderDelayPerOwned = holderJitter
@@ -62,7 +62,7 @@
 		SlowTTL:             slowHolderTTL,
 		SlowCall:            slowCall,
 		Poll:                holderPoll,
-		IdlePoll:            holderRestPoll,
+		IdlePoll:            holderIdlePoll,
 		DelayPerOwned:       holderDelayPerOwned,
 		Remote:              holderRemoteDelay,
 		Timeout:             holderTimeout,
--- a/internal/workflow/gateway/timing_test.go
+++ b/internal/workflow/gateway/timing_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/gateway"
 )
 
-// TestTimingRelations guards against a change of one duration that breaks its relation to another one.
-func TestTimingRelations(t *testing.T) {
+// TestTimingRelationsHold guards against a change of one duration that breaks its relation to another one.
+func TestTimingRelationsHold(t *testing.T) {
 	timing := gateway.HolderTiming(true)
 	require.Positive(t, timing.Poll)
 	require.Less(t, timing.Poll+timing.Timeout, timing.TTL, "one heartbeat may be lost")
