--- a/internal/workflow/gateway/cellroom.go
+++ b/internal/workflow/gateway/cellroom.go
@@ -112,11 +112,11 @@
 	}
 }
 
-// maxFreeOnWorker returns the most free CPU of a single worker, with delegated tasks subtracted.
-func (o otherCell) maxFreeOnWorker(service cottonlanding.ServiceName) cottonlanding.Millicores {
+// freeOnOneWorker returns the most free CPU of a single worker, with delegated tasks subtracted.
+func (o otherCell) freeOnOneWorker(service cottonlanding.ServiceName) cottonlanding.Millicores {
 	most := cottonlanding.Millicores(0)
-	for _, free := range o.freeByWorker[service] {
-		most = max(most, free)
+	for _, freeOnOneWorker := range o.freeByWorker[service] {
+		most = max(most, freeOnOneWorker)
 	}
 	return most
 }
@@ -144,8 +144,8 @@
 func (p *participant) view(homes int, now cottonlanding.Millis) otherCell {
 	latestReport, usable := p.latestReport()
 	cell := otherCell{viewOf(p.cell, latestReport, usable), latestReport.Capacity, latestReport.Lasting, latestReport.Largest, make(map[cottonlanding.ServiceName][]cottonlanding.Millicores)}
-	for service, free := range latestReport.Holes {
-		cell.freeByWorker[service] = slices.Clone(free) // deductDelegated changes it
+	for service, freeByWorker := range latestReport.Holes {
+		cell.freeByWorker[service] = slices.Clone(freeByWorker) // deductDelegated changes it
 	}
 	return p.deductReferred(cell, homes, now)
 }
--- a/internal/workflow/gateway/delegation.go
+++ b/internal/workflow/gateway/delegation.go
@@ -53,7 +53,7 @@
 		case other.hasFreeCapacity(task):
 			withCapacity = append(withCapacity, view)
 		default:
-			view.Free = float64(other.maxFreeOnWorker(task.Service)) / float64(other.capacity)
+			view.Free = float64(other.freeOnOneWorker(task.Service)) / float64(other.capacity)
 			withFreeWorker = append(withFreeWorker, view)
 		}
 	}
@@ -92,7 +92,7 @@
 		return returnedByCell
 	case !task.Need.Fits(o.largest[task.Service]):
 		return noWorkerFits
-	case !o.hasFreeCapacity(task) && o.maxFreeOnWorker(task.Service) < task.Need.CPU:
+	case !o.hasFreeCapacity(task) && o.freeOnOneWorker(task.Service) < task.Need.CPU:
 		return noCapacityLeft
 	}
 	return notRejected
--- a/internal/workflow/gateway/gateway.go
+++ b/internal/workflow/gateway/gateway.go
@@ -291,11 +291,11 @@
 
 // callFollowingReferral calls the home cell of a workflow and, if that has referred the workflow, the cell that has it.
 func (g *Gateway) callFollowingReferral(id cottonlanding.WorkflowID, call func(*participant) error) error {
-	home, err := g.home(id)
+	homeParticipant, err := g.home(id)
 	if err != nil {
 		return err
 	}
-	err = call(home)
+	err = call(homeParticipant)
 	var referred *driver.ReferredError
 	if !errors.As(err, &referred) {
 		return err
--- a/internal/workflow/gateway/ownerwatch.go
+++ b/internal/workflow/gateway/ownerwatch.go
@@ -36,12 +36,12 @@
 	defer g.watchesMu.Unlock()
 	for _, p := range *g.participants.Load() {
 		view := p.holder.View()
-		shouldWatch := p.shouldWatch(view) && !g.leaving()
-		if p.ownerWatch != nil && (!shouldWatch || p.ownerWatch.version != view.Version) {
+		mustWatch := p.shouldWatch(view) && !g.leaving()
+		if p.ownerWatch != nil && (!mustWatch || p.ownerWatch.version != view.Version) {
 			p.ownerWatch.cancel()
 			p.ownerWatch = nil
 		}
-		if shouldWatch && p.ownerWatch == nil {
+		if mustWatch && p.ownerWatch == nil {
 			ctx, cancel := context.WithCancel(g.lifetime)
 			p.ownerWatch = &ownerWatch{version: view.Version, cancel: cancel}
 			go p.watch(ctx, view)
