--- a/internal/workflow/gateway/cellroom.go
+++ b/internal/workflow/gateway/capacity.go
@@ -13,7 +13,8 @@
 // workflows arrive within a second, a shorter time lets cells take more of them than they can ever run.
 const maxReportLag = 2 * cottonlanding.Second
 
-// referredLoad is the CPU that recently referred or delegated work requests at first.
+// referredLoad is the CPU of the first steps of a workflow that this host has recently referred to a cell, or of a task
+// that it has recently delegated to one.
 type referredLoad struct {
 	at cottonlanding.Millis
 	// reserved is the CPU that the work reserves, filling what its filling tasks use; lasting is the part of reserved
@@ -71,8 +72,9 @@
 	capacity cottonlanding.Millicores
 	// lasting is the fraction of capacity that lasting tasks use or wait for.
 	lasting float64
-	// largest is what the worker with the most free CPU has free, holes the free CPU of single workers, both by service.
-	largest      map[cottonlanding.ServiceName]cottonlanding.Resources
+	// largest is what the worker with the most free CPU has free, by service.
+	largest map[cottonlanding.ServiceName]cottonlanding.Resources
+	// freeByWorker is the free CPU of single workers, by service: one value for each worker that the owner reports.
 	freeByWorker map[cottonlanding.ServiceName][]cottonlanding.Millicores
 }
 
@@ -94,7 +96,8 @@
 	return cell
 }
 
-// deductDelegated subtracts a delegated task from the cell's capacity, from the smallest hole that fits it.
+// deductDelegated subtracts a delegated task from the cell's capacity, and from the worker with the least free CPU that
+// is enough for it.
 func (o *otherCell) deductDelegated(service cottonlanding.ServiceName, cpu cottonlanding.Millicores) {
 	if cpu == 0 {
 		return
@@ -112,7 +115,7 @@
 	}
 }
 
-// freeOnOneWorker returns the most free CPU of a single worker, with delegated tasks subtracted.
+// freeOnOneWorker returns the free CPU of the worker that has most of it, with delegated tasks subtracted.
 func (o otherCell) freeOnOneWorker(service cottonlanding.ServiceName) cottonlanding.Millicores {
 	most := cottonlanding.Millicores(0)
 	for _, freeOnOneWorker := range o.freeByWorker[service] {
@@ -155,8 +158,8 @@
 	return cpu == 0 || o.Usable && o.lasting+float64(cpu)/float64(o.capacity) <= 1
 }
 
-// cellsWithLastingCapacity returns the cells with capacity for all lasting tasks of a workflow or, if there are none, those
-// with capacity for the fewest with which it can start.
+// cellsWithLastingCapacity returns the cells with capacity for all lasting tasks of a workflow or, if there are none,
+// those with capacity for the fewest with which it can start.
 func cellsWithLastingCapacity(workflow cottonlanding.Workflow, others []otherCell) []otherCell {
 	for _, tasks := range []func(cottonlanding.Step) int{allTasks, minTasks} {
 		cpu := lastingCPU(workflow, tasks)
@@ -215,6 +218,8 @@
 	return out
 }
 
+// chooseCell applies the referral policy to a workflow of this cell, and records the choice at the chosen cell. It
+// returns false if the workflow stays.
 func (p *participant) chooseCell(workflow cottonlanding.Workflow, report planner.Report, usable bool, others []otherCell) (cottonlanding.CellNumber, bool) {
 	if len(others) == 0 {
 		return 0, false
--- a/internal/workflow/gateway/delegation.go
+++ b/internal/workflow/gateway/delegation.go
@@ -41,9 +41,9 @@
 	return out
 }
 
-// candidatesFor returns the cells that can run the task: those with enough total capacity or, if there are none, those
-// with a single worker that has enough free. Tasks that wait in such a cell are too large for that worker; otherwise
-// they would run there already.
+// candidatesFor returns the cells that can run the task: those with free capacity beside all running and waiting tasks
+// or, if there are none, those with a single worker that has enough CPU free. Tasks that wait in such a cell are too
+// large for that worker; otherwise they would run there already.
 func candidatesFor(task planner.DelegableTask, others []otherCell) []cottonlanding.CellView {
 	var withCapacity, withFreeWorker []cottonlanding.CellView
 	for _, other := range others {
@@ -63,7 +63,8 @@
 	return withFreeWorker
 }
 
-// hasFreeCapacity reports whether the task fits in the cell beside all tasks that run or wait there.
+// hasFreeCapacity reports whether the tasks that run or wait in the cell leave capacity free, and its lasting tasks
+// enough for this one.
 func (o otherCell) hasFreeCapacity(task planner.DelegableTask) bool {
 	return o.Free > 0 && o.fitsLasting(task.Need.CPU)
 }
@@ -77,9 +78,10 @@
 	unknownCapacity rejection = "Unknown"
 	// returnedByCell: the cell has returned the task.
 	returnedByCell rejection = "Returned"
-	// noCapacityLeft: running and waiting tasks need all capacity of the cell, and no single worker has enough free.
+	// noCapacityLeft: the cell has no free capacity for the task beside all running and waiting tasks, and no single
+	// worker has enough CPU free.
 	noCapacityLeft rejection = "Full"
-	// noWorkerFits: the task doesn't fit on any worker of the cell.
+	// noWorkerFits: the task doesn't fit in what the worker with the most free CPU has free.
 	noWorkerFits rejection = "NoWorker"
 )
 
@@ -124,7 +126,8 @@
 	p.referred = append(p.referred, referredLoad{at: now, delegated: task.Need.CPU, service: task.Service})
 }
 
-// sendDelegationRequest asks another cell about the tasks that this cell has delegated to it.
+// sendDelegationRequest sends the owner of another cell the state of the workflows whose tasks this cell has delegated
+// to it, and returns its response.
 func (p *participant) sendDelegationRequest(ctx context.Context, to cottonlanding.CellNumber, delegationRequest planner.DelegationRequest) (planner.DelegationResponse, error) {
 	delegateCell := p.gateway.participant(to)
 	if delegateCell == nil {
@@ -151,7 +154,8 @@
 	return response, err
 }
 
-// Guests implements wire.WorkflowsServer.
+// Guests handles a delegation request; the wire format calls delegated tasks guests. It implements
+// wire.WorkflowsServer.
 func (s *peerServer) Guests(_ context.Context, request *wire.GuestQuestion) (*wire.GuestAnswer, error) {
 	response, err := s.handleDelegationRequest(request)
 	out := &wire.GuestAnswer{Code: messenger.CodeOf(err), Answer: response}
--- a/internal/workflow/gateway/gateway.go
+++ b/internal/workflow/gateway/gateway.go
@@ -93,7 +93,8 @@
 	deps      Dependencies
 	messenger *messenger.Messenger
 	watcher   *holder.Watcher
-	// participants holds this host's participant in each known cell, by cell number; the first cell always exists.
+	// participants holds this host's participant in each cell, by cell number: in the first cell always, in the others
+	// once the layout is known.
 	participants atomic.Pointer[[]*participant]
 	// layout is nil until it is known.
 	layout     atomic.Pointer[partitioner.Layout]
@@ -101,10 +102,10 @@
 	// layoutKnownAt is when the first layout was read, ready whether calls are answered.
 	layoutKnownAt atomic.Int64
 	ready         atomic.Bool
-	// referralsLoop finds out what became of referred workflows.
+	// referralsLoop finds out what became of referred workflows, and whether delegated ones are still open.
 	referralsLoop *repeater.Repeater
 
-	// Only the layout loop uses the fields below.
+	// Only New and, after it, the layout loop use the fields of this group.
 	layoutVersion cottonlanding.Version
 	// readers holds one reader for each partition of owner rows.
 	readers map[cottonlanding.Partition]*holder.Reader
@@ -118,7 +119,8 @@
 	// watchesMu guards the owner watches of all cells.
 	watchesMu sync.Mutex
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// left is set by Leave: this host takes no cells any more.
 	left bool
 }
 
@@ -172,7 +174,7 @@
 	return g.readers[partition]
 }
 
-// participant returns this host's participant in a cell, or nil if the cell isn't known here.
+// participant returns this host's participant in a cell, or nil if the layout known here has no such cell.
 func (g *Gateway) participant(cell cottonlanding.CellNumber) *participant {
 	participants := *g.participants.Load()
 	if cell < 0 || int(cell) >= len(participants) {
@@ -182,7 +184,7 @@
 }
 
 // home returns this host's participant in the home cell of a workflow, to which its id maps. The error is
-// ErrUnavailable until the cells are known.
+// ErrUnavailable until the gateway is ready (see Ready).
 func (g *Gateway) home(id cottonlanding.WorkflowID) (*participant, error) {
 	if !g.Ready() {
 		return nil, fmt.Errorf("the cells are not known yet: %w", cottonlanding.ErrUnavailable)
--- a/internal/workflow/gateway/gateway_test.go
+++ b/internal/workflow/gateway/gateway_test.go
@@ -111,8 +111,6 @@
 // so can't take a listener's port between the probe and the listening.
 const peerIP = "127.0.66.1"
 
-// neverSlow is longer than any call of the table in memory takes, however busy the machine is: only
-// a test that makes the table slow is to have hosts that take it for slow, from calls of slowCall on.
 const (
 	// neverSlow exceeds the duration of any call of the table in memory on a loaded machine, so that only tests that
 	// delay the table have hosts that consider it slow, from slowCall on.
@@ -372,8 +370,8 @@
 	t.Logf("a workflow was accepted %s after the owner began to leave", took)
 }
 
-// TestTableUnavailableFailsCallsFast guards against calls that wait for their time limit while the table is unavailable, and against
-// hosts that don't recover with it.
+// TestTableUnavailableFailsCallsFast guards against calls that wait for their time limit while the table is
+// unavailable, and against hosts that don't recover with it.
 func TestTableUnavailableFailsCallsFast(t *testing.T) {
 	d := deploy(t)
 	old := d.owner()
--- a/internal/workflow/gateway/handover_test.go
+++ b/internal/workflow/gateway/handover_test.go
@@ -28,9 +28,9 @@
 	return best.Cell, d.enabled.Load() && best.Cell != home.Cell
 }
 
-// TestHandedOverWorkflowsSurviveOwnerKills guards against workflows that are lost, not found or started twice while they are handed
-// over and all owners are killed one after another. Lasting workflows that need seven eighths of all workers are first
-// placed by their ids alone, so that some wait while other cells have room.
+// TestHandedOverWorkflowsSurviveOwnerKills guards against workflows that are lost, not found or started twice while
+// they are handed over and all owners are killed one after another. Lasting workflows that need seven eighths of all workers
+// are first placed by their ids alone, so that some wait while other cells have room.
 func TestHandedOverWorkflowsSurviveOwnerKills(t *testing.T) {
 	referral := &delayedReferral{}
 	d := deployWithReferral(t, cells, referral)
--- a/internal/workflow/gateway/interrupted_test.go
+++ b/internal/workflow/gateway/interrupted_test.go
@@ -11,7 +11,7 @@
 )
 
 // maxDowntime is the longest permitted time until a lasting task runs again if there is twice the capacity that it
-// needs. It is six seconds after its last run, and three seconds without a further fault.
+// needs: the sum of six seconds after its last run, as long as a lease lasts, and three undisturbed seconds.
 const maxDowntime = 9 * time.Second
 
 // crashWorkerWithLastingTask crashes the first worker that runs a lasting task.
--- a/internal/workflow/gateway/layout.go
+++ b/internal/workflow/gateway/layout.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// layoutInterval is how often the owner of the first cell checks for workers whose rack is not in the layout.
+	// layoutInterval is how often each host applies the newest layout if no update has arrived, and the owner of the
+	// first cell extends it by new racks.
 	layoutInterval = 300 * cottonlanding.Millis(1)
 	// settleTime is how long the number of workers must stay unchanged before the first layout is made, since workers
 	// that start together are listed over one to two seconds and the number of cells is final. maxSettleTime bounds
@@ -110,7 +111,8 @@
 	g.deps.Log.Info("layout written", "Cells", next.Cells, "Racks", len(next.Racks), "Workers", len(workers), "Error", err)
 }
 
-// Ready reports whether the cells are known and have owners, so that calls can be answered. It stays true.
+// Ready reports whether calls can be answered: the layout is known and, if there are several cells, each has had an
+// owner that reported its capacity, or the waits for these have timed out. It stays true.
 func (g *Gateway) Ready() bool {
 	if g.ready.Load() {
 		return true
--- a/internal/workflow/gateway/lists.go
+++ b/internal/workflow/gateway/lists.go
@@ -33,7 +33,7 @@
 	address   cottonlanding.Address
 }
 
-// News implements relayer.Source.
+// News returns the rows of the list that changed after a version, read at the other host. It implements relayer.Source.
 func (p peerSource) News(ctx context.Context, after cottonlanding.Version) (relayer.Response, error) {
 	connection, err := p.messenger.Connection(p.address)
 	if err != nil {
@@ -89,7 +89,7 @@
 	source relayer.Source
 }
 
-// News implements wire.ListsServer.
+// News answers with the rows of the list that changed after a version. It implements wire.ListsServer.
 func (s *listServer) News(ctx context.Context, question *wire.ListQuestion) (*wire.ListAnswer, error) {
 	response, err := s.source.News(ctx, cottonlanding.Version(question.GetAfter()))
 	if err != nil {
--- a/internal/workflow/gateway/ownercalls.go
+++ b/internal/workflow/gateway/ownercalls.go
@@ -17,8 +17,9 @@
 )
 
 const (
-	// maxHeartbeatAge is the maximum age of an owner's heartbeat for calls to be sent to it, a little more than
-	// three polls. Calls to a silent owner are refused at once: their outcome would be unknown.
+	// maxHeartbeatAge is the maximum age of an owner's heartbeat for calls to be sent to it and its report to be used. It
+	// is longer than three intervals between heartbeats (900 ms) and shorter than holderTTL. Calls to an owner with an
+	// older heartbeat are refused at once: their outcome would be unknown.
 	maxHeartbeatAge = 1100 * cottonlanding.Millis(1)
 	// unreachableBackoff is how long a host that can reach neither the table nor the owner refuses calls before it tries
 	// the owner again.
@@ -35,7 +36,8 @@
 )
 
 // callOwner calls the owner at another host. The error is a ReferredError if the workflow is in another cell, and
-// ErrUnavailable, without a call, if the owner is unknown, silent or was unreachable just before.
+// ErrUnavailable, without a call, if the owner is unknown, its heartbeat is older than maxHeartbeatAge although
+// the table isn't slow, or it was unreachable just before.
 func (p *participant) callOwner(ctx context.Context, call func(context.Context, wire.WorkflowsClient) (*wire.WorkflowReply, error)) (*wire.WorkflowReply, error) {
 	owner := p.holder.View().Owner
 	if owner.ID == "" || owner.Member == p.gateway.settings.Self {
--- a/internal/workflow/gateway/ownerwatch.go
+++ b/internal/workflow/gateway/ownerwatch.go
@@ -18,7 +18,7 @@
 // detected by its heartbeats.
 
 const (
-	// watchersPerOwner is the number of other owners that watch an owner.
+	// watchersPerOwner is the number of other owners that watch an owner if there are several cells.
 	watchersPerOwner = 2
 	// watchRetryInterval is the delay before a watch that ended although its owner runs is started again.
 	watchRetryInterval = holderPoll
@@ -49,9 +49,9 @@
 	}
 }
 
-// shouldWatch reports whether this host watches the owner of the cell. With one cell the hosts watch that would be
-// among the first to take over; with several cells the next owners in the order of cells. A host that has just started
-// doesn't know the age of heartbeats yet, and watches all owners.
+// shouldWatch reports whether this host watches the owner of the cell. With one cell, hosts with at least the
+// owner's share watch it, since these are among the first to take over; with several cells, the next owners in the
+// order of cells do. A host that isn't ready doesn't know the age of heartbeats yet, and watches all owners.
 func (p *participant) shouldWatch(view holder.View) bool {
 	self := p.gateway.settings.Self
 	switch {
--- a/internal/workflow/gateway/participant.go
+++ b/internal/workflow/gateway/participant.go
@@ -32,7 +32,9 @@
 	driver      *driver.Driver
 	lastWaiting map[cottonlanding.QueueName]waitingCount
 	workers     cellWorkers
-	referred    []referredLoad
+	// referred is the work that this host has recently referred or delegated to this cell from other cells. The report
+	// of the cell's owner may not include it yet.
+	referred []referredLoad
 	// ownerWatch is this host's watch over the owner's process, guarded by Gateway.watchesMu.
 	ownerWatch *ownerWatch
 	// unplacedLoggedAt is when this cell last logged that no other cell has room for a task.
@@ -98,7 +100,8 @@
 	setup := planner.Setup{
 		Partition: p.partition,
 		Epoch:     view.Owner.Epoch,
-		// The previous owner went on to renew leases for CutOffGrace after it had lost the table.
+		// The previous owner's ownership has ended by BeforeOwnedUntil. It may have renewed leases for CutOffGrace longer,
+		// until BeforeUntil.
 		BeforeUntil:      view.BeforeUntil + p.gateway.settings.Planner.CutOffGrace,
 		BeforeOwnedUntil: view.BeforeUntil,
 	}
--- a/internal/workflow/gateway/referrals.go
+++ b/internal/workflow/gateway/referrals.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// referralsInterval is how often owners query old referrals, maxReferralsPerPass how many at a time: together 4 a
-	// second, while 14,000 workflows a day are one in six seconds.
+	// referralsInterval is how often owners query old referrals and unconfirmed delegated workflows, maxReferralsPerPass
+	// how many of each kind at a time for each cell. That is 4 a second, far above the rate of new workflows: 14,000 a
+	// day are one in six seconds.
 	referralsInterval   = 5 * cottonlanding.Second
 	maxReferralsPerPass = 20
 )
 
-// resolveReferredAndDelegated asks the cells to which this host's cells have referred or delegated workflows whether they still
-// have them, and drops the records of those that they don't.
+// resolveReferredAndDelegated asks the cells to which this host's cells have referred workflows whether they still have
+// them, and the delegators of workflows delegated to this host's cells whether these are still open. Referrals of
+// workflows that are gone are dropped, and delegated workflows that have ended are cancelled here.
 func (g *Gateway) resolveReferredAndDelegated(ctx context.Context) {
 	for _, p := range *g.participants.Load() {
 		local := p.local()
--- a/internal/workflow/gateway/timing.go
+++ b/internal/workflow/gateway/timing.go
@@ -13,8 +13,10 @@
 	holderTTL     = 1200 * cottonlanding.Millis(1)
 	holderPoll    = 300 * cottonlanding.Millis(1)
 	holderTimeout = 600 * cottonlanding.Millis(1)
-	// holderIdlePoll is the poll interval of hosts that leave the cells to larger ones, nine in ten of a deployment of
-	// 147 hosts. They notice a silent owner within three polls.
+	// holderIdlePoll is the poll interval of hosts that needn't be among the first to take over: those that leave the
+	// cells to larger ones, nine in ten of a deployment of 147 hosts, and with several cells also their owners. Hosts
+	// without a cell may poll less often (see holder.Holder.readInterval). At this interval a host detects within three
+	// polls that heartbeats have stopped.
 	holderIdlePoll = 2 * holderPoll
 	// holderDelayPerOwned is the additional delay of a host for each cell that it owns already. It is as long as the
 	// jitter, so that hosts without a cell go first.
@@ -33,15 +35,17 @@
 	holderSmallShareDelay     = 900 * cottonlanding.Millis(1)
 	slowHolderSmallShareDelay = 2 * cottonlanding.Second
 	// holderRestartGrace is how long a host whose process has ended has to restart and take its cells back, with two
-	// calls of the table. Another host would need as long to take over, and the cells stay with their host.
+	// calls of the table. Another host would need as long to take over, and this way the cells don't change hosts.
 	holderRestartGrace = 600 * cottonlanding.Millis(1)
 	// holderFirstOwnerDelay orders hosts by size if no cell has had an owner yet. It ends well before traffic starts.
 	holderFirstOwnerDelay = 2 * cottonlanding.Second
-	// cutOffGrace is how long an owner that has lost the table keeps renewing leases. Together with a lease it covers
-	// table outages of nine seconds, the longest observed.
+	// cutOffGrace is how long an owner that has lost the table keeps renewing leases after its ownership has ended.
+	// Without a cap, leases would last until holderTTL + cutOffGrace + maxPlannerLease = 9.2 s after the last heartbeat,
+	// enough for the longest known outage of the table, nine seconds; leaseExtension caps them earlier.
 	cutOffGrace = 2 * cottonlanding.Second
-	// leaseExtension is how much longer than one lease an owner's leases may last after its guaranteed ownership. With
-	// holderTTL they outlast a table outage of eight seconds, and a lasting task that is lost together with its owner
+	// leaseExtension is how much longer than one lease an owner's leases may last after its guaranteed ownership. While
+	// the table isn't slow, they end at most holderTTL + maxPlannerLease + leaseExtension = 8.2 s after the last
+	// heartbeat: they outlast a table outage of eight seconds, and a lasting task that is lost together with its owner
 	// runs again within nine.
 	leaseExtension = cottonlanding.Second
 	// maxPlannerLease bounds leases below what workers grant. A worker that is lost together with its owner must be given
--- a/internal/workflow/gateway/timing_test.go
+++ b/internal/workflow/gateway/timing_test.go
@@ -31,7 +31,6 @@
 }
 
 // TestLeaseCoversTakeOver guards against leases that expire before a killed owner is replaced while the table is slow.
-// The durations in service caused that unnoticed.
 func TestLeaseCoversTakeOver(t *testing.T) {
 	timing := gateway.HolderTiming(true)
 	service := gateway.PlannerTiming(30*cottonlanding.Second, 900, cottonlanding.Minute)
