--- a/internal/workflow/gateway/timing_test.go
+++ b/internal/workflow/gateway/timing_test.go
@@ -10,8 +10,8 @@
 	"github.com/cottonlanding/cottonlanding/internal/workflow/gateway"
 )
 
-// TestTimingRelations guards against a change of one duration that breaks its relation to another one.
-func TestTimingRelations(t *testing.T) {
+// TestTimingRelationsHold guards against a change of one duration that breaks its relation to another one.
+func TestTimingRelationsHold(t *testing.T) {
 	timing := gateway.HolderTiming(true)
 	require.Positive(t, timing.Poll)
 	require.Less(t, timing.Poll+timing.Timeout, timing.TTL, "one heartbeat may be lost")
@@ -31,7 +31,6 @@
 }
 
 // TestLeaseCoversTakeOver guards against leases that expire before a killed owner is replaced while the table is slow.
-// The durations in service caused that unnoticed.
 func TestLeaseCoversTakeOver(t *testing.T) {
 	timing := gateway.HolderTiming(true)
 	service := gateway.PlannerTiming(30*cottonlanding.Second, 900, cottonlanding.Minute)
