--- a/internal/policy/referrer/referrer_test.go
+++ b/internal/policy/referrer/referrer_test.go
@@ -87,7 +87,7 @@
 
 // TestByImageGroupsImages guards against cells that are too full or have too many images. Five cells
 // are filled to four fifths with sixteen images: by ids alone one cell is too full, by room and by
-// image none is, and by image a cell has far fewer images.
+// image none is, and by image a cell has only about half of the images.
 func TestByImageGroupsImages(t *testing.T) {
 	never, byRoom, byImage := newFleet(), newFleet(), newFleet()
 	never.fill(referrer.Never{})
--- a/internal/workflow/gateway/timing.go
+++ b/internal/workflow/gateway/timing.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// holderTTL is how long an ownership lasts without a heartbeat. Another host is to take over within 2 s.
+	// holderTTL is how long an ownership lasts without a heartbeat. With a poll and the jitter it stays below the 2 s
+	// within which another host is to take over.
 	holderTTL     = 1200 * cottonlanding.Millis(1)
 	holderPoll    = 300 * cottonlanding.Millis(1)
 	holderTimeout = 600 * cottonlanding.Millis(1)
@@ -124,8 +125,8 @@
 	return max(1, int(workers))
 }
 
-// PlannerTiming returns the timing of decisions. The arguments are guarantees of the workers: the longest lease that
-// they grant, how long they take to stop a run, and how long the state of a final workflow must be available.
+// PlannerTiming returns the timing of decisions. Lease is the longest lease that workers accept, stopTimeout the
+// longest that they take to stop a run, and retention how long the state of a final workflow must be available.
 func PlannerTiming(lease, stopTimeout, retention cottonlanding.Millis) planner.Timing {
 	return planner.Timing{
 		Lease:                 min(lease, maxPlannerLease),
